--- a/juniperreel/proxy/mysql_endpoints.py
+++ b/juniperreel/proxy/mysql_endpoints.py
@@ -1,6 +1,6 @@
-"""Connections to endpoints that speak MySQL: an attempt has a connection of its own for its exchange.
+"""Connections to MySQL endpoints; each attempt leases a connection for its exchange.
 
-Must never decide which endpoint, whether to retry, or when.
+Must never choose the endpoint, or decide whether and when to retry.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     GTIDS_QUERY,
     LOAD_QUERY,
     STATUS_QUERY,
-    error_of,
-    heartbeat_of,
+    error_from_packet,
+    parse_heartbeat,
     replication_status,
 )
 from juniperreel.proxy.options import DriverOptions, MysqlEndpointOptions
@@ -43,7 +43,7 @@
 from juniperreel.rpc.channel import CallInterruptedError, CallUnprocessedError
 from juniperreel.telemetry.metrics import Metrics
 
-MAX_WAIT_S = 1.0  # between two rounds of the pools' deadlines
+MAX_WAIT_S = 1.0  # longest interval between two checks of the pools' deadlines
 
 
 class MysqlEndpoint:
@@ -57,17 +57,17 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether it left the endpoint list or moved to another address."""
+        """Whether the endpoint was removed from the endpoint list or moved to another address."""
         return self.pool.is_draining
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open, the monitor's included."""
+        """The number of open connections, including the monitor's."""
         pool = self.pool.core
         return pool.leased + pool.idle + self.monitor.is_connected
 
     def drain(self) -> None:
-        """Close what is idle, and abort the transactions.
+        """Close idle connections, and abort open transactions.
 
         Rule 3: nothing new goes to a removed endpoint, not even the next statement of a transaction.
         """
@@ -77,18 +77,18 @@
             transaction.abort(ENDPOINT_REMOVED)
 
     def add_transaction(self, transaction: EndpointTransaction) -> None:
-        """Own a transaction that has just begun."""
+        """Track a new transaction, so that `drain` aborts it; abort it at once if draining."""
         self.transactions.add(transaction)
         if self.is_draining:
             transaction.abort(ENDPOINT_REMOVED)
 
-    def kill_statement_of(self, victim: BackendConnection) -> None:
-        """Have the server end what still runs on a connection that this side closed."""
+    def kill_statement_of(self, connection: BackendConnection) -> None:
+        """Kill the statement that may still run on a connection that the edge closed."""
         if not self.is_draining:
-            self.monitor.kill_statement_of(victim)
+            self.monitor.kill_statement_of(connection)
 
     def report_gauges(self, metrics: Metrics) -> None:
-        """Write the pool's gauges to the metrics."""
+        """Update the gauges of the pool."""
         pool = self.pool.core
         metrics.pool.labels(self.name, "leased").set(pool.leased)
         metrics.pool.labels(self.name, "idle").set(pool.idle)
@@ -98,7 +98,7 @@
 
 
 class MysqlEndpoints:
-    """All endpoints of one driver, where they speak MySQL; see `attempts.EndpointConnections`."""
+    """Implements `attempts.EndpointConnections` for MySQL endpoints."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         group_of: Callable[[str], int],
         metrics: Metrics,
     ) -> None:
-        """`group_of` gives an endpoint's group."""
+        """`group_of` returns an endpoint's group."""
         self._options = options
         self._mysql_options = mysql_options
         self._clock = clock
@@ -123,10 +123,10 @@
         self._endpoints: dict[str, MysqlEndpoint] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
-        self.replayed = 0  # statements that took a connection to a session's state
+        self.replayed = 0  # statements executed to bring connections to a session's state
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Own the connections' tasks, and process the pools' deadlines, until cancelled."""
+        """Run the connections' tasks, and process the pools' deadlines, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             while True:
@@ -151,14 +151,14 @@
     # Endpoints.
 
     def set_address(self, endpoint: str, host: str, port: int) -> None:
-        """Set where the endpoint is now; at the same address it takes requests again."""
+        """Set the endpoint's address; a draining endpoint at the same address takes requests again."""
         address = EndpointAddress(host, port)
-        known = self._endpoints.get(endpoint)
-        if known is not None and known.pool.address == address:
-            known.pool.resume()
+        current = self._endpoints.get(endpoint)
+        if current is not None and current.pool.address == address:
+            current.pool.resume()
             return
-        if known is not None:
-            known.drain()
+        if current is not None:
+            current.drain()
         self._endpoints[endpoint] = self._new_endpoint(endpoint, address)
 
     def _new_endpoint(self, name: str, address: EndpointAddress) -> MysqlEndpoint:
@@ -182,36 +182,36 @@
         return MysqlEndpoint(name, pool, monitor)
 
     def remove(self, endpoint: str) -> None:
-        """Send nothing new to the endpoint, which left the endpoint list."""
-        known = self._endpoints.get(endpoint)
-        if known is not None:
-            known.drain()
+        """Drain an endpoint that was removed from the endpoint list."""
+        current = self._endpoints.get(endpoint)
+        if current is not None:
+            current.drain()
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return sum(endpoint.connection_count for endpoint in self._endpoints.values())
 
     @property
     def opened(self) -> int:
-        """How many connections were ever opened."""
+        """The number of connections opened since the start."""
         return self._connector.opened
 
     @property
     def killed(self) -> int:
-        """How many abandoned statements were killed at the endpoints known."""
+        """The number of abandoned statements killed at the current endpoints."""
         return sum(endpoint.monitor.killed for endpoint in self._endpoints.values())
 
     def open_transactions(self) -> list[EndpointTransaction]:
-        """All transactions that are open."""
+        """Return the open transactions on all endpoints."""
         return [transaction for endpoint in self._endpoints.values() for transaction in endpoint.transactions]
 
     def pools(self) -> dict[str, Pool[BackendConnection]]:
-        """The endpoints' pools by name, for tests and benchmarks."""
+        """Return the pools by endpoint name, for tests and benchmarks."""
         return {name: endpoint.pool.core for name, endpoint in self._endpoints.items()}
 
     def report_gauges(self) -> None:
-        """Write the pools' gauges to the metrics."""
+        """Update the gauges of all pools."""
         for endpoint in self._endpoints.values():
             endpoint.report_gauges(self._metrics)
 
@@ -233,18 +233,18 @@
         try:
             response = await self._execute_on(target, lease, attempt, sent)
         except BaseException:
-            target.pool.give_back(lease, reusable)
+            target.pool.return_lease(lease, reusable)
             if lease.connection.closed_locally:
                 target.kill_statement_of(lease.connection)
             raise
         if response.transaction is not None:
-            return response  # the transaction owns the lease
-        rest = getattr(response.result, "remaining_rows", None)
-        if rest is None:
-            target.pool.give_back(lease, reusable)
+            return response  # the transaction owns the lease now
+        remaining_rows = getattr(response.result, "remaining_rows", None)
+        if remaining_rows is None:
+            target.pool.return_lease(lease, reusable)
         else:
             assert self._nursery is not None
-            self._nursery.start_soon(self._give_back_after, target, lease, rest, reusable)
+            self._nursery.start_soon(self._return_lease_after, target, lease, remaining_rows, reusable)
         return response
 
     async def _execute_on(
@@ -273,9 +273,9 @@
             raise CallInterruptedError(str(error)) from error
 
     async def _replay(self, backend: BackendConnection, attempt: AttemptRequest) -> None:
-        """Bring the connection to the session's state.
+        """Replay the session's state on the connection.
 
-        Raises ConnectionLostError, or EndpointError where the endpoint rejects it.
+        Raises ConnectionLostError, or EndpointError if the endpoint rejects a statement.
         """
         request = attempt.request
         statements = [replay_statement(backend.session_state, request.session_state)]
@@ -286,30 +286,33 @@
                 continue
             self.replayed += 1
             self._metrics.replays.inc()
-            (answer,) = await backend.exchange([Statement(text)])
-            if isinstance(answer, Err):
-                # How much of the state the endpoint took over is not known: nobody may reuse it.
+            (reply,) = await backend.exchange([Statement(text)])
+            if isinstance(reply, Err):
+                # It is unknown how much of the state was applied, so the connection must not be reused.
                 backend.close()
-                raise error_of(answer)
+                raise error_from_packet(reply)
         backend.session_state = request.session_state
 
     @staticmethod
-    async def _give_back_after(
-        target: MysqlEndpoint, lease: Lease[BackendConnection], rest: ConnectionRowStream, reusable: bool
+    async def _return_lease_after(
+        target: MysqlEndpoint,
+        lease: Lease[BackendConnection],
+        remaining_rows: ConnectionRowStream,
+        reusable: bool,
     ) -> None:
-        """End the lease once a long result has been read to its end, or closed."""
-        await rest.finished.wait()
-        target.pool.give_back(lease, reusable)
+        """Return the lease once a streamed result has been read to its end or closed."""
+        await remaining_rows.finished.wait()
+        target.pool.return_lease(lease, reusable)
 
     def _begin_transaction(
         self, target: MysqlEndpoint, lease: Lease[BackendConnection], request: ClientRequest
     ) -> EndpointTransaction:
         assert self._nursery is not None
 
-        def give_back(reusable: bool) -> None:
-            """End the transaction's lease."""
+        def return_lease(reusable: bool) -> None:
+            """Remove the transaction, and return its lease."""
             target.transactions.discard(transaction)
-            target.pool.give_back(lease, reusable)
+            target.pool.return_lease(lease, reusable)
 
         transaction = EndpointTransaction(
             lease.connection,
@@ -319,7 +322,7 @@
             self._clock,
             self._positions,
             self._mysql_options.transaction_timeout_us,
-            give_back,
+            return_lease,
         )
         self._nursery.start_soon(transaction.enforce_timeout)
         target.add_transaction(transaction)
@@ -328,7 +331,7 @@
     # Health checks.
 
     async def check_health(self, endpoint: str) -> EndpointReport:
-        """Ask the endpoint for its report.
+        """Query the endpoint's replication status, load and executed GTIDs.
 
         Raises ConnectError, CallInterruptedError, ConnectionLostError or EndpointError.
         """
@@ -336,16 +339,16 @@
         if target is None or target.is_draining:
             raise ConnectTimedOutError(f"no address is known for {endpoint}")
         try:
-            answers = await target.monitor.exchange([STATUS_QUERY, LOAD_QUERY, GTIDS_QUERY])
+            replies = await target.monitor.exchange([STATUS_QUERY, LOAD_QUERY, GTIDS_QUERY])
         except (ConnectionLostError, ResultTooLargeError) as error:
             raise CallInterruptedError(str(error)) from error
-        status_answer, load, gtids = answers
-        heartbeat = heartbeat_of(status_answer)
+        status_reply, load, gtids = replies
+        heartbeat = parse_heartbeat(status_reply)
         if isinstance(load, Err):
-            raise error_of(load)
+            raise error_from_packet(load)
         try:
             status = replication_status(heartbeat)
-            if isinstance(gtids, Result):  # a server without GTIDs has none to report
+            if isinstance(gtids, Result):  # a server without GTIDs replies with an error
                 ((executed,),) = gtids.values()
                 group = self._group_of(endpoint)
                 self._positions.record_status(group, status)
--- a/juniperreel/proxy/mysql_exchange.py
+++ b/juniperreel/proxy/mysql_exchange.py
@@ -1,8 +1,9 @@
-"""One attempt as an exchange on one MySQL connection.
+"""Executes one attempt as an exchange on one MySQL connection.
 
-The endpoint's status is queried in the same exchange as the statement, so that a response is judged by what
-its endpoint held when it gave it. A write queries it before and after: only a commit between two equal
-statuses belongs to that epoch.
+The endpoint's replication status is queried in the same exchange as the statement, so that a response is
+checked against the position that the endpoint had applied when it responded. A write queries the status
+before and after the statement: a commit belongs to an epoch only if the endpoint was writable
+before the statement and its epoch has not changed after it.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from juniperreel.proxy.errors import EndpointError, not_supported, too_large
 from juniperreel.proxy.mysql_replies import (
     STATUS_QUERY,
-    changed_role,
-    error_of,
-    heartbeat_of,
+    error_from_packet,
     parameter_value,
+    parse_heartbeat,
     replication_status,
+    role_changed,
     statement_error,
 )
 from juniperreel.proxy.positions import PositionTracker, ReplicationStatus
@@ -41,9 +42,9 @@
 
 
 class AttemptExchange:
-    """Executes one attempt on a leased connection that is in the session's state.
+    """Executes one attempt on a leased connection that is already in the session's state.
 
-    `begin_transaction` makes the connection's open transaction, which then owns its lease.
+    `begin_transaction` wraps the connection's open transaction in an object that then owns the lease.
     """
 
     def __init__(
@@ -86,91 +87,91 @@
             raise too_large(str(error)) from error
 
     async def _run(self, steps: Sequence[Statement], main: int, stream: bool = False) -> list[Result | Err]:
-        """Run the steps; once more where the server had forgotten a prepared statement, and executed nothing.
+        """Run the steps, and repeat them once if the server no longer has a prepared statement.
 
-        `main` is the index of the attempt's own statement.
+        In that case the server has executed nothing. `main` is the index of the attempt's own statement.
         """
-        answers = await self._backend.exchange(steps, self._attributes, main, stream)
-        answer = answers[main]
-        forgotten = isinstance(answer, Err) and answer.code in REPREPARE_CODES
-        if forgotten and not self._backend.session.in_transaction:
-            answers = await self._backend.exchange(steps, self._attributes, main, stream)
-        return answers
+        replies = await self._backend.exchange(steps, self._attributes, main, stream)
+        reply = replies[main]
+        needs_reprepare = isinstance(reply, Err) and reply.code in REPREPARE_CODES
+        if needs_reprepare and not self._backend.session.in_transaction:
+            replies = await self._backend.exchange(steps, self._attributes, main, stream)
+        return replies
 
     async def _read(self) -> AttemptResponse:
         stream = self._attempt.request.accepts_stream
-        status_answer, answer = await self._run([STATUS_QUERY, self._statement], 1, stream)
-        status = replication_status(heartbeat_of(status_answer))
-        if isinstance(answer, Err):
-            raise error_of(answer)
+        status_reply, reply = await self._run([STATUS_QUERY, self._statement], 1, stream)
+        status = replication_status(parse_heartbeat(status_reply))
+        if isinstance(reply, Err):
+            raise error_from_packet(reply)
         if not self._attempt.required.is_met_by(status):
-            if answer.remaining_rows is not None:
-                answer.remaining_rows.close()
-            return AttemptResponse(None, status)  # the response check finds that it is too old
-        return AttemptResponse(answer, status)
+            if reply.remaining_rows is not None:
+                reply.remaining_rows.close()
+            return AttemptResponse(None, status)  # `ResponseCheck` reports it as stale
+        return AttemptResponse(reply, status)
 
     async def _write(self) -> AttemptResponse:
-        """Raises ConnectionLostError where the commit's epoch is in doubt."""
+        """Execute a write. Raises ConnectionLostError if the commit's epoch is uncertain."""
         steps = [STATUS_QUERY, self._statement, STATUS_QUERY]
-        status_before, answer, status_after = await self._run(steps, 1)
-        before = heartbeat_of(status_before)
-        if isinstance(answer, Err):
-            raise error_of(answer)
+        status_before, reply, status_after = await self._run(steps, 1)
+        before = parse_heartbeat(status_before)
+        if isinstance(reply, Err):
+            raise error_from_packet(reply)
         if self._backend.session.in_transaction:
-            # The statement opened a transaction unrecognised. Its client would go on in a transaction that
-            # ends when the connection goes to somebody else.
+            # The statement parser did not recognise that the statement begins a transaction. The client would
+            # continue in a transaction that is rolled back when the connection is returned to the pool.
             raise not_supported("begins a transaction in words that are not read here")
         try:
-            after = heartbeat_of(status_after)
+            after = parse_heartbeat(status_after)
         except EndpointError as error:
             message = f"{self._endpoint} does not report the status of its commit: {error}"
             raise ConnectionLostError(message, sent=True) from error
-        if changed_role(before, after):
+        if role_changed(before, after):
             raise ConnectionLostError(f"{self._endpoint} changed its role during a write", sent=True)
         status = replication_status(after)
         group = self._group_of(self._endpoint)
-        self._positions.record_commit(group, status.history.epoch, after.clock_us, answer.ok.gtids)
-        return AttemptResponse(answer, status, after.clock_us)
+        self._positions.record_commit(group, status.history.epoch, after.clock_us, reply.ok.gtids)
+        return AttemptResponse(reply, status, after.clock_us)
 
     async def _begin_read_write(self) -> AttemptResponse:
         """Begin, query the status, and only then send the statement.
 
-        A statement that was executed at a deposed primary, even if it was rolled back, would not be retried.
+        A statement that was executed at a deposed primary would not be retried, even if it was rolled back.
         """
-        status_answer, begun = await self._backend.exchange([STATUS_QUERY, BEGIN_READ_WRITE])
-        heartbeat = heartbeat_of(status_answer)
+        status_reply, begun = await self._backend.exchange([STATUS_QUERY, BEGIN_READ_WRITE])
+        heartbeat = parse_heartbeat(status_reply)
         status = replication_status(heartbeat)
         group = self._group_of(self._endpoint)
         self._positions.record_status(group, status)
         if heartbeat.read_only or self._positions.is_deposed(group, status):
             raise EndpointError(Outcome.INELIGIBLE, f"{self._endpoint} is no primary")
         if isinstance(begun, Err):
-            raise error_of(begun)
+            raise error_from_packet(begun)
         stream = self._attempt.request.accepts_stream
-        (answer,) = await self._backend.exchange([self._statement], self._attributes, 0, stream)
-        return self._transaction_response(status, answer)
+        (reply,) = await self._backend.exchange([self._statement], self._attributes, 0, stream)
+        return self._transaction_response(status, reply)
 
     async def _begin_read_only(self) -> AttemptResponse:
-        """Query the status within the transaction, so that it is that of the transaction's snapshot."""
+        """Query the status within the transaction, so that it describes the transaction's snapshot."""
         steps = [BEGIN_READ_ONLY, STATUS_QUERY, self._statement]
         stream = self._attempt.request.accepts_stream
-        begun, status_answer, answer = await self._backend.exchange(steps, self._attributes, 2, stream)
+        begun, status_reply, reply = await self._backend.exchange(steps, self._attributes, 2, stream)
         if isinstance(begun, Err):
-            raise error_of(begun)
-        status = replication_status(heartbeat_of(status_answer))
-        return self._transaction_response(status, answer)
+            raise error_from_packet(begun)
+        status = replication_status(parse_heartbeat(status_reply))
+        return self._transaction_response(status, reply)
 
-    def _transaction_response(self, status: ReplicationStatus, answer: Result | Err) -> AttemptResponse:
-        """The response to a transaction's first statement, which may fail and leave the transaction open."""
+    def _transaction_response(self, status: ReplicationStatus, reply: Result | Err) -> AttemptResponse:
+        """Build the response to a transaction's first statement, which may fail without ending it."""
         error = None
-        if isinstance(answer, Err):
-            if error_category(answer.code) not in (ErrorCategory.STATEMENT_ERROR, ErrorCategory.ABORTED):
-                raise error_of(answer)
-            error = statement_error(answer)
-            if answer.code in TRANSACTION_ROLLBACK_CODES:
+        if isinstance(reply, Err):
+            if error_category(reply.code) not in (ErrorCategory.STATEMENT_ERROR, ErrorCategory.ABORTED):
+                raise error_from_packet(reply)
+            error = statement_error(reply)
+            if reply.code in TRANSACTION_ROLLBACK_CODES:
                 raise error
         if not self._backend.session.in_transaction:
             raise EndpointError(Outcome.ERROR, f"{self._endpoint} began no transaction")
         transaction = self._begin_transaction()
-        result = None if isinstance(answer, Err) else answer
+        result = None if isinstance(reply, Err) else reply
         return AttemptResponse(result, status, transaction=transaction, error=error)
--- a/juniperreel/proxy/mysql_monitor.py
+++ b/juniperreel/proxy/mysql_monitor.py
@@ -1,6 +1,7 @@
-"""One connection to an endpoint beside its pool: health checks and KILL must not wait for pooled connections.
+"""Dedicated monitoring connection to a MySQL endpoint, for health checks and KILL.
 
-Owns that connection and the number of KILLs that wait for it.
+It is separate from the endpoint's pool, because neither may have to wait for a pooled connection. Owns that
+connection and the number of pending KILL statements.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class EndpointMonitor:
-    """The monitoring connection of one endpoint, opened when first needed; its tasks live in `nursery`."""
+    """The monitoring connection of one endpoint, opened on first use; its tasks run in `nursery`."""
 
     def __init__(
         self,
@@ -38,17 +39,17 @@
         self._metrics = metrics
         self._nursery = nursery
         self._backend: BackendConnection | None = None
-        self._lock = trio.Lock()  # exchanges on one connection follow one another
+        self._lock = trio.Lock()  # serialises exchanges on the connection
         self._pending_kills = 0
         self.killed = 0
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection was ever opened; it may have broken since."""
+        """Whether a connection was ever opened; it may have been lost since."""
         return self._backend is not None
 
     async def exchange(self, steps: Sequence[Statement]) -> list[Result | Err]:
-        """Run statements on the connection.
+        """Run statements on the connection, opening it if necessary.
 
         Raises ConnectError, ConnectionLostError or ResultTooLargeError.
         """
@@ -59,31 +60,32 @@
             return await self._backend.exchange(steps)
 
     def close(self) -> None:
-        """Close the connection; the next exchange opens another."""
+        """Close the connection; the next exchange opens a new one."""
         if self._backend is not None:
             self._backend.close()
 
-    def kill_statement_of(self, victim: BackendConnection) -> None:
-        """Have the endpoint end a statement that nobody waits for; without this it would run on.
+    def kill_statement_of(self, connection: BackendConnection) -> None:
+        """Kill the abandoned statement on a closed connection, which the endpoint would otherwise complete.
 
-        If the server was restarted, it may have given the victim's number to another client's connection,
-        which would be killed instead. Only a connection that lived beside the victim proves that it was not.
+        After a restart, the server may have assigned the same thread id to another client's connection, which
+        would be killed instead. A monitoring connection that was open while the closed connection was in use,
+        and still is, rules that out; so none is opened for a KILL.
         """
         backend = self._backend
         if backend is None or backend.close_reason or self._pending_kills >= MAX_PENDING_KILLS:
             return
         self._pending_kills += 1
-        self._nursery.start_soon(self._kill, backend, victim.thread_id)
+        self._nursery.start_soon(self._kill, backend, connection.thread_id)
 
-    async def _kill(self, backend: BackendConnection, thread: int) -> None:
+    async def _kill(self, backend: BackendConnection, thread_id: int) -> None:
         try:
             with trio.move_on_after(self._kill_timeout_us / US):
                 async with self._lock:
                     if not backend.close_reason:
-                        await backend.exchange([Statement(f"kill {thread}".encode())])
+                        await backend.exchange([Statement(f"kill {thread_id}".encode())])
                         self.killed += 1
                         self._metrics.kills.inc()
         except (ConnectionLostError, ResultTooLargeError):
-            pass  # the connection broke, and the server's statement may have ended with it
+            pass  # the monitoring connection was lost; the statement may have ended with the server
         finally:
             self._pending_kills -= 1
--- a/juniperreel/proxy/mysql_pool.py
+++ b/juniperreel/proxy/mysql_pool.py
@@ -1,6 +1,6 @@
-"""One endpoint's pool of MySQL connections: carries out what `pool.core` decides.
+"""Connection pool of one MySQL endpoint: carries out the actions that `pool.core` decides on.
 
-Owns the open connections and those who wait for one. Must never choose the endpoint or retry.
+Owns the open connections and the attempts that wait for one. Must never choose the endpoint or retry.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 from juniperreel.rpc.channel import CallUnprocessedError
 from juniperreel.telemetry.metrics import Metrics
 
-# Why a connection is not lent again, as metrics show it.
+# Reasons for closing a connection at the end of its lease; values of the metric's label `reason`.
 TAINTED = "something was left on it"
-BROKEN = "it broke, or an exchange did"
+CONNECTION_BROKEN = "it broke, or an exchange did"
 TRANSACTION_OPEN = "a transaction was open"
 
 
@@ -56,7 +56,7 @@
 
 
 class PoolWaiter:
-    """One attempt that waits for a connection, until it has a lease or a reason why not."""
+    """An attempt that waits for a connection, until it is granted a lease or rejected."""
 
     def __init__(self) -> None:
         self.decided = trio.Event()
@@ -64,21 +64,21 @@
         self.rejection_reason = ""
 
     def grant(self, lease: Lease[BackendConnection]) -> None:
-        """Give it the connection."""
+        """Wake the attempt with a lease."""
         self.lease = lease
         self.decided.set()
 
     def reject(self, reason: str) -> None:
-        """Give it nothing."""
+        """Wake the attempt with a rejection."""
         self.rejection_reason = reason
         self.decided.set()
 
 
 class EndpointPool:
-    """The connections to one endpoint at one address; their tasks live in `nursery`.
+    """The connections to one endpoint at one address; their tasks run in `nursery`.
 
-    `core` decides, and is read by others for its counts; all changes pass through this class. `on_waiting` is
-    called when the pool has somebody waiting, and so a deadline that may come earlier.
+    Other modules may read counts from `core`, but only this class changes it. `on_waiting` is called when
+    attempts wait for a connection, since `next_due_us` may then be earlier than before.
     """
 
     def __init__(
@@ -101,52 +101,54 @@
         self._nursery = nursery
         self._on_waiting = on_waiting
         self._waiters: dict[Hashable, PoolWaiter] = {}
-        self._want_ids = count()
+        self._acquire_ids = count()
         self._last_failure = ""
 
     def process_due(self, now_us: int) -> None:
-        """Close, open and reject what is due."""
+        """Close and open connections, and reject waiting attempts, as deadlines pass."""
         self._apply(self.core.tick(now_us))
 
     @property
     def is_draining(self) -> bool:
-        """Whether `drain` was called, and `resume` not since."""
+        """Whether `drain` was called, and `resume` has not been called since."""
         return self.core.draining
 
     def next_due_us(self, now_us: int) -> int | None:
-        """When `process_due` should be called next, None for no deadline."""
+        """The time of the next call of `process_due`, None if there is no deadline."""
         return self.core.next_tick_us(now_us)
 
     def resume(self) -> None:
-        """Lend connections again after `drain`."""
+        """Grant leases again after `drain`."""
         self.core.resume()
 
     def drain(self) -> None:
-        """Reject who waits, and close connections as they come back."""
+        """Reject waiting attempts, and close connections when they are idle or returned."""
         self._apply(self.core.drain())
 
     async def lease(
         self, tenant_index: int, priority_weight: float, state: SessionState
     ) -> Lease[BackendConnection]:
-        """Wait for a connection, preferably one in this session state.
+        """Wait for a connection, preferably one that is already in this session state.
 
         Raises ConnectError or CallUnprocessedError.
         """
         while True:
-            want = AcquireRequest(next(self._want_ids), tenant_index, priority_weight, session_state=state)
-            lease = await self._wait_for_lease(want)
+            acquire_request = AcquireRequest(
+                next(self._acquire_ids), tenant_index, priority_weight, session_state=state
+            )
+            lease = await self._wait_for_lease(acquire_request)
             if not lease.connection.close_reason:
                 return lease
-            self.give_back(lease, reusable=False)  # the endpoint closed it while it was idle
+            self.return_lease(lease, reusable=False)  # closed by the endpoint while idle
 
-    async def _wait_for_lease(self, want: AcquireRequest) -> Lease[BackendConnection]:
+    async def _wait_for_lease(self, acquire_request: AcquireRequest) -> Lease[BackendConnection]:
         waiter = PoolWaiter()
-        self._waiters[want.id] = waiter
+        self._waiters[acquire_request.id] = waiter
         try:
-            self._apply(self.core.acquire(self._clock.now_us(), want))
+            self._apply(self.core.acquire(self._clock.now_us(), acquire_request))
             await waiter.decided.wait()
         except trio.Cancelled:
-            self._abandon(want, waiter)
+            self._cancel_acquire(acquire_request, waiter)
             raise
         if waiter.lease is not None:
             return waiter.lease
@@ -155,21 +157,21 @@
             raise ConnectTimedOutError(f"{self._endpoint}: {reason}; {self._last_failure}")
         raise CallUnprocessedError(f"{self._endpoint}: {reason}")
 
-    def _abandon(self, want: AcquireRequest, waiter: PoolWaiter) -> None:
+    def _cancel_acquire(self, acquire_request: AcquireRequest, waiter: PoolWaiter) -> None:
         if waiter.lease is not None:
-            self.give_back(waiter.lease, reusable=True)
+            self.return_lease(waiter.lease, reusable=True)
         else:
-            self._waiters.pop(want.id, None)
-            self._apply(self.core.cancel(want.id))
+            self._waiters.pop(acquire_request.id, None)
+            self._apply(self.core.cancel(acquire_request.id))
 
-    def give_back(self, lease: Lease[BackendConnection], reusable: bool) -> None:
-        """End a lease. A connection that is broken or in doubt is closed, `reusable` or not."""
+    def return_lease(self, lease: Lease[BackendConnection], reusable: bool) -> None:
+        """End a lease. A connection that is closed or in an uncertain state is never reused."""
         backend = lease.connection
         reason = "" if reusable else TAINTED
         if backend.close_reason or backend.session.in_flight:
-            reason = BROKEN
+            reason = CONNECTION_BROKEN
         elif backend.session.in_transaction:
-            # A transaction that is still open would take in the next client's statement.
+            # The next client's statement would become part of the transaction that is still open.
             reason = TRANSACTION_OPEN
         if reason:
             self._metrics.pool_spent.labels(reason).inc()
@@ -181,9 +183,9 @@
             match action:
                 case LeaseGranted(lease):
                     self._grant(lease)
-                case AcquireRejected(want, reason):
+                case AcquireRejected(acquire_request, reason):
                     self._metrics.pool_turned.labels(reason).inc()
-                    waiter = self._waiters.pop(want.id, None)
+                    waiter = self._waiters.pop(acquire_request.id, None)
                     if waiter is not None:
                         waiter.reject(reason)
                 case OpenConnection():
@@ -197,7 +199,7 @@
         waiter = self._waiters.pop(lease.request.id, None)
         if waiter is not None:
             waiter.grant(lease)
-        else:  # its attempt was cancelled in the same moment
+        else:  # its attempt was cancelled at the same time
             now = self._clock.now_us()
             self._apply(self.core.release(now, lease, True, lease.connection.session_state))
 
@@ -206,11 +208,11 @@
             backend = await self._connector.connect(self.address)
         except ConnectError as error:
             self._last_failure = str(error)
-            is_busy = (
+            is_overloaded = (
                 isinstance(error, LoginRejectedError)
                 and error_category(error.code) is ErrorCategory.OVERLOADED
             )
-            self._apply(self.core.open_failed(self._clock.now_us(), is_busy))
+            self._apply(self.core.open_failed(self._clock.now_us(), is_overloaded))
             return
         except BaseException:
             self.core.open_abandoned(self._clock.now_us())
--- a/juniperreel/proxy/mysql_replies.py
+++ b/juniperreel/proxy/mysql_replies.py
@@ -1,4 +1,4 @@
-"""Reads what endpoints that speak MySQL reply: replication status and errors. No I/O."""
+"""Parses replies of MySQL endpoints: replication status and errors. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 GTIDS_QUERY = Statement(endpoint_status.GTID_QUERY)
 
 
-def error_of(err: Err) -> EndpointError | ConnectionLostError:
-    """The exception to raise for an ERR packet."""
+def error_from_packet(err: Err) -> EndpointError | ConnectionLostError:
+    """Return the exception to raise for an ERR packet."""
     message = f"{err.code}: {err.message}"
     match error_category(err.code):
         case ErrorCategory.READ_ONLY:
@@ -38,30 +38,33 @@
 
 
 def statement_error(err: Err) -> EndpointError:
-    """The error of a statement that took no effect; clients know its code, and whether to retry is theirs."""
+    """Return the error of a statement that took no effect.
+
+    The client receives its code and decides whether to retry.
+    """
     return EndpointError(Outcome.OK, err.message, err.code, err.sqlstate)
 
 
-def heartbeat_of(answer: Result | Err) -> endpoint_status.EndpointStatus:
-    """Read the reply to `STATUS_QUERY`.
+def parse_heartbeat(reply: Result | Err) -> endpoint_status.EndpointStatus:
+    """Parse the reply to `STATUS_QUERY`.
 
-    Raises EndpointError or ConnectionLostError: an endpoint that doesn't report its status is not believed.
+    Raises EndpointError or ConnectionLostError: a response without a replication status cannot be trusted.
     """
-    if isinstance(answer, Err):
-        error = error_of(answer)
+    if isinstance(reply, Err):
+        error = error_from_packet(reply)
         if isinstance(error, EndpointError) and error.outcome is Outcome.OK:
-            # The heartbeat table is missing, or forbidden.
-            message = f"replication status is not reported: {answer.code}: {answer.message}"
+            # The heartbeat table is missing, or access to it is denied.
+            message = f"replication status is not reported: {reply.code}: {reply.message}"
             raise EndpointError(Outcome.ERROR, message)
         raise error
     try:
-        return endpoint_status.parse_status(answer.values())
+        return endpoint_status.parse_status(reply.values())
     except (StatusUnavailableError, ProtocolError) as error:
         raise EndpointError(Outcome.ERROR, str(error)) from error
 
 
 def replication_status(heartbeat: endpoint_status.EndpointStatus) -> ReplicationStatus:
-    """The status that a heartbeat shows."""
+    """Convert a parsed heartbeat to a replication status."""
     return ReplicationStatus(
         is_primary=not heartbeat.read_only,
         position=heartbeat.position_us,
@@ -70,12 +73,15 @@
     )
 
 
-def changed_role(before: endpoint_status.EndpointStatus, after: endpoint_status.EndpointStatus) -> bool:
-    """Whether `read_only` or the epoch changed around a commit, which the group may then never hold."""
+def role_changed(before: endpoint_status.EndpointStatus, after: endpoint_status.EndpointStatus) -> bool:
+    """Whether the endpoint was read-only before a commit or its epoch changed during it.
+
+    The group may then have lost the commit.
+    """
     return before.read_only or before.epochs != after.epochs
 
 
 def parameter_value(parameter: Any) -> Value:
-    """A parameter of `juniperreel.common.v1` as a value of MySQL's protocol."""
+    """Convert a parameter of `juniperreel.common.v1` to a MySQL protocol value."""
     kind = parameter.WhichOneof("kind")
     return None if kind in (None, "null") else getattr(parameter, kind)
--- a/juniperreel/proxy/transactions.py
+++ b/juniperreel/proxy/transactions.py
@@ -1,8 +1,8 @@
 """A transaction on one endpoint's connection, from its first statement to its end.
 
-The router saw the first statement as a request and chose the endpoint; all that follows goes to the same
-connection and nowhere else. Nothing of it is ever sent twice: what breaks is rolled back by the endpoint, and
-reported so. Only where the connection breaks during the commit is the effect unknown.
+The router chose the endpoint when it routed the first statement as a request; all later statements use the
+same connection. No statement is ever resent: if the connection is lost, the endpoint rolls the transaction
+back, and the client is told so. The effect is unknown only if the connection is lost during the commit.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 from juniperreel.pool.result import Result, Statement
 from juniperreel.pool.session_state import SessionState
 from juniperreel.proxy.errors import TransactionOutcomeUnknownError, TransactionRolledBackError
-from juniperreel.proxy.mysql_replies import STATUS_QUERY, changed_role, replication_status
+from juniperreel.proxy.mysql_replies import STATUS_QUERY, replication_status, role_changed
 from juniperreel.proxy.positions import PositionTracker
 from juniperreel.proxy.requests import TransactionResult
 
-# Reasons of an abort, as clients see them.
-TOOK_TOO_LONG = "it took longer than a transaction may"
+# Reasons for aborting a transaction; clients receive these texts.
+TRANSACTION_TIMED_OUT = "it took longer than a transaction may"
 ENDPOINT_REMOVED = "its member has left"
 
-TIMEOUT_CHECK_S = 0.25  # longest pause between two checks whether a transaction took too long
+TIMEOUT_CHECK_S = 0.25  # longest interval between two checks of a transaction's time-out
 
 
 class EndpointTransaction:
-    """Implements `requests.Transaction` on a leased connection. `release` must be called in the end."""
+    """Implements `requests.Transaction` on a leased connection; `release` must be called eventually."""
 
     def __init__(
         self,
@@ -51,11 +51,11 @@
         clock: Clock,
         positions: PositionTracker,
         timeout_us: int,
-        give_back: Callable[[bool], None],
+        return_lease: Callable[[bool], None],
     ) -> None:
-        """`timeout_us` runs from now; then the transaction is aborted.
+        """Start the time-out of `timeout_us`, after which the transaction is aborted.
 
-        `give_back` takes the connection back, and whether it can be reused.
+        `return_lease` is called once, with whether the connection can be reused.
         """
         self._backend = backend
         self._request_id = request_id
@@ -64,74 +64,74 @@
         self._clock = clock
         self._positions = positions
         self._deadline_us = clock.now_us() + timeout_us
-        self._give_back: Callable[[bool], None] | None = give_back
+        self._return_lease: Callable[[bool], None] | None = return_lease
         self._abort_reason = ""
         self._statement_count = 0
-        self._is_busy = False
+        self._exchange_in_progress = False
         self.tainted = False
 
     @property
     def state(self) -> SessionState:
-        """What sessions have changed of the connection."""
+        """The session state that the connection is in."""
         return self._backend.session_state
 
     @state.setter
     def state(self, state: SessionState) -> None:
-        """Record a change that a statement has made to the session."""
+        """Record the session state after a statement that changed it."""
         self._backend.session_state = state
 
     @property
     def open(self) -> bool:
-        """Whether further statements can be executed in it."""
-        return self._give_back is not None
+        """Whether further statements can be executed in the transaction."""
+        return self._return_lease is not None
 
     def abort(self, reason: str) -> None:
-        """Roll it back from this side: it took too long, or its endpoint was removed.
+        """Roll the transaction back because it timed out or its endpoint was removed.
 
-        Its client learns the reason at its next statement, or at once if one is in flight.
+        The client receives the reason at its next statement, or at once if one is in flight.
         """
-        if self._give_back is None or self._abort_reason:
+        if self._return_lease is None or self._abort_reason:
             return
         self._abort_reason = reason
         self._backend.close()
-        if not self._is_busy:
+        if not self._exchange_in_progress:
             self._end(reusable=False)
 
     def release(self) -> None:
-        """Roll it back if it is open: its client has disconnected, or is done with it."""
-        if self._give_back is not None:
+        """Roll the transaction back if it is open: the client disconnected or no longer needs it."""
+        if self._return_lease is not None:
             self._backend.close()
             self._end(reusable=False)
 
     def _end(self, reusable: bool) -> None:
-        give_back = self._give_back
-        self._give_back = None
-        if give_back is not None:
-            give_back(reusable and not self._backend.close_reason and not self.tainted)
+        return_lease = self._return_lease
+        self._return_lease = None
+        if return_lease is not None:
+            return_lease(reusable and not self._backend.close_reason and not self.tainted)
 
     async def run(self, statement: Statement, stream: bool = True) -> Result:
         """Execute one statement.
 
-        Raises StatementError (the transaction may be over then: see `open`), TransactionRolledBackError, or
-        ResultTooLargeError.
+        Raises StatementError, after which the transaction may have ended (see `open`),
+        TransactionRolledBackError, or ResultTooLargeError.
         """
-        (answer,) = await self._exchange([statement], stream=stream)
-        if isinstance(answer, Err):
-            self._end_if_over(answer)
-            raise StatementError(answer)
-        if answer.remaining_rows is None and not self._backend.session.in_transaction:
-            # Statements that commit by themselves end a transaction: the server says so.
+        (reply,) = await self._exchange([statement], stream=stream)
+        if isinstance(reply, Err):
+            self._end_if_over(reply)
+            raise StatementError(reply)
+        if reply.remaining_rows is None and not self._backend.session.in_transaction:
+            # The statement committed implicitly, as the server's status flags show.
             self._end(reusable=True)
-        return answer
+        return reply
 
     def _end_if_over(self, err: Err, commits: bool = False) -> None:
-        """Read from an error's code, as it carries no session flags, whether the transaction is over.
+        """End the transaction if the error's code implies that; an ERR packet carries no status flags.
 
         Raises TransactionRolledBackError, or TransactionOutcomeUnknownError if the statement `commits`.
         """
         match error_category(err.code):
             case ErrorCategory.READ_ONLY:
-                # A primary no longer: it will commit nothing; what ran is rolled back with the connection.
+                # No longer a primary: it cannot commit. Closing the connection rolls the transaction back.
                 self.release()
                 raise TransactionRolledBackError(f"{self._endpoint} takes no writes any more")
             case ErrorCategory.CONNECTION_CLOSED | ErrorCategory.SERVER_FAILURE if commits:
@@ -144,39 +144,39 @@
                 self._end(reusable=False)
 
     async def finish(self, statement: Statement, commits: bool = True) -> TransactionResult:
-        """Execute the last statement, a rollback unless it `commits`.
+        """Execute the transaction's last statement: a commit, or a rollback if `commits` is false.
 
-        Raises StatementError with nothing done, TransactionRolledBackError, or TransactionOutcomeUnknownError
-        for one that commits.
+        Raises StatementError if the statement had no effect, TransactionRolledBackError, or, for a commit,
+        TransactionOutcomeUnknownError.
         """
         if commits:
             return await self._commit(statement)
-        (answer,) = await self._exchange([statement])
+        (reply,) = await self._exchange([statement])
         self._end(reusable=True)
-        if isinstance(answer, Err):
-            raise StatementError(answer)
-        return TransactionResult(answer, EMPTY)
+        if isinstance(reply, Err):
+            raise StatementError(reply)
+        return TransactionResult(reply, EMPTY)
 
     async def _commit(self, statement: Statement) -> TransactionResult:
-        """Commit between two status queries, which show in whose epoch the commit lies."""
-        status_before, answer, status_after = await self._exchange_commit(statement)
+        """Commit between two status queries, which show the epoch of the commit."""
+        status_before, reply, status_after = await self._exchange_commit(statement)
         is_over = not self._backend.session.in_transaction
-        if isinstance(answer, Err):
-            self._end_if_over(answer, commits=True)
+        if isinstance(reply, Err):
+            self._end_if_over(reply, commits=True)
             if is_over:
                 self._end(reusable=True)
-            raise StatementError(answer)
-        before = read_heartbeat(status_before)
-        after = read_heartbeat(status_after)
+            raise StatementError(reply)
+        before = parse_heartbeat_or_none(status_before)
+        after = parse_heartbeat_or_none(status_after)
         if is_over:
             self._end(reusable=True)
-        if before is None or after is None or changed_role(before, after):
-            # The primary was replaced while it confirmed; the group may never hold this commit.
+        if before is None or after is None or role_changed(before, after):
+            # The primary was replaced during the commit, and the group may have lost it.
             raise TransactionOutcomeUnknownError(f"{self._endpoint} changed its role during the commit")
-        return TransactionResult(answer, self._record_commit(after, answer.ok.gtids))
+        return TransactionResult(reply, self._record_commit(after, reply.ok.gtids))
 
     async def _exchange_commit(self, statement: Statement) -> list[Result | Err]:
-        """Raises TransactionOutcomeUnknownError where the connection breaks."""
+        """Raises TransactionOutcomeUnknownError if the connection is lost."""
         try:
             return await self._exchange([STATUS_QUERY, statement, STATUS_QUERY], main=1)
         except TransactionRolledBackError as error:
@@ -186,7 +186,10 @@
             raise TransactionOutcomeUnknownError(str(error)) from error
 
     def _record_commit(self, after: endpoint_status.EndpointStatus, gtids: str) -> Token:
-        """The token of a confirmed commit. Raises TransactionOutcomeUnknownError in an ended epoch."""
+        """Record a confirmed commit, and return its token.
+
+        Raises TransactionOutcomeUnknownError if its epoch has ended.
+        """
         status = replication_status(after)
         self._positions.record_status(self._group, status)
         epoch = status.history.epoch
@@ -198,11 +201,11 @@
     async def _exchange(
         self, steps: Sequence[Statement], main: int = 0, stream: bool = False
     ) -> list[Result | Err]:
-        """Cancelled, the transaction is rolled back.
+        """Run statements on the connection; cancellation rolls the transaction back.
 
         Raises TransactionRolledBackError or ResultTooLargeError.
         """
-        if self._abort_reason or self._give_back is None:
+        if self._abort_reason or self._return_lease is None:
             self._end(reusable=False)
             raise TransactionRolledBackError(self._abort_reason or "the transaction is over")
         self._statement_count += 1
@@ -210,32 +213,32 @@
             "juniperreel_request": self._request_id,
             "juniperreel_statement": self._statement_count,
         }
-        self._is_busy = True
+        self._exchange_in_progress = True
         try:
             return await self._backend.exchange(steps, attributes, main, stream)
         except ConnectionLostError as error:
             reason = self._abort_reason or f"the connection to {self._endpoint} was lost: {error}"
             raise TransactionRolledBackError(reason) from error
         finally:
-            self._is_busy = False
+            self._exchange_in_progress = False
             if self._backend.close_reason:
                 self._end(reusable=False)
 
     async def enforce_timeout(self) -> None:
-        """Abort the transaction when it took too long; returns when it is over."""
+        """Abort the transaction at its deadline; return once it has ended."""
         while self.open:
             remaining_us = self._deadline_us - self._clock.now_us()
             if remaining_us <= 0:
-                self.abort(TOOK_TOO_LONG)
+                self.abort(TRANSACTION_TIMED_OUT)
                 return
             await trio.sleep(min(remaining_us / US, TIMEOUT_CHECK_S))
 
 
-def read_heartbeat(answer: Result | Err) -> endpoint_status.EndpointStatus | None:
-    """The reply to `STATUS_QUERY`, None where the endpoint doesn't report its status."""
-    if isinstance(answer, Err):
+def parse_heartbeat_or_none(reply: Result | Err) -> endpoint_status.EndpointStatus | None:
+    """Parse the reply to `STATUS_QUERY`; None if the endpoint does not report its status."""
+    if isinstance(reply, Err):
         return None
     try:
-        return endpoint_status.parse_status(answer.values())
+        return endpoint_status.parse_status(reply.values())
     except StatusUnavailableError:
         return None
