--- a/juniperreel/proxy/attempt_runner.py
+++ b/juniperreel/proxy/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs one attempt or one health check to its end, and names its outcome. Decides nothing."""
+"""Runs attempts and health checks, and reports their outcomes. Makes no routing decisions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class AttemptRunner:
-    """Makes attempts and health checks on the connections of one driver."""
+    """Runs attempts and health checks on the connections of one driver."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         traces: Traces,
         confirm_send: Callable[[str, int], bool],
     ) -> None:
-        """`confirm_send` asks the router whether an attempt of a request still fits."""
+        """`confirm_send` asks the router whether an attempt may still be sent."""
         self._confirm_send = confirm_send
         self._connections = connections
         self._health_check_timeout_us = health_check_timeout_us
@@ -43,7 +43,7 @@
         self._traces = traces
 
     async def run(self, attempt: Attempt, timeout_us: int) -> AttemptCompleted:
-        """Make the attempt. Never raises but for cancellation from outside: every end is an outcome."""
+        """Run the attempt. Every end is reported as an outcome; only outside cancellation is raised."""
         deadline_us = attempt.started_us + timeout_us
         request_id = attempt.open_request.id
         with self._traces.span("attempt", request=request_id, member=attempt.endpoint, number=attempt.number):
@@ -70,12 +70,12 @@
                 attempt.endpoint, attempt_request, remaining_us, attempt.sent
             )
         except ATTEMPT_ERRORS as error:
-            # An endpoint that reports an error in the statement is healthy: the attempt served the request.
+            # An error in the statement is the request's result; the endpoint is healthy.
             outcome = Outcome.OK if is_statement_error(error) else outcome_of_error(error)
             return AttemptCompleted(attempt, outcome, self._clock.now_us(), error=error)
         except Exception as error:
-            # A bug that one attempt runs into would otherwise leave the nursery and end the edge. Whether the
-            # request was executed is not known.
+            # Without this, a bug that a single attempt triggers would cancel the nursery and end the edge.
+            # Whether the request was executed is unknown.
             self._log.error(
                 "attempt raised unexpectedly",
                 request=open_request.id,
@@ -86,7 +86,7 @@
         return AttemptCompleted(attempt, Outcome.OK, self._clock.now_us(), response)
 
     async def check_health(self, endpoint: str) -> HealthCheckCompleted:
-        """Ask the endpoint for its report, within the health checks' time-out. Every end is an outcome."""
+        """Request the endpoint's report. Every end, a time-out included, is reported as an outcome."""
         started_us = self._clock.now_us()
         completed = HealthCheckCompleted(endpoint, Outcome.TIMEOUT, 0)
         with (
@@ -103,7 +103,7 @@
         except ATTEMPT_ERRORS as error:
             return HealthCheckCompleted(endpoint, outcome_of_error(error), 0)
         except Exception as error:
-            # As with attempts: a bug that one endpoint triggers would otherwise end the edge.
+            # As for attempts: a bug that a single endpoint triggers must not end the edge.
             self._log.error("health check raised unexpectedly", endpoint=endpoint, exc_info=error)
             return HealthCheckCompleted(endpoint, Outcome.ERROR, 0)
         return HealthCheckCompleted(endpoint, Outcome.OK, 0, report)
--- a/juniperreel/proxy/attempts.py
+++ b/juniperreel/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""What passes between the request driver and its endpoint connections, whatever protocol endpoints speak."""
+"""Interface between the request driver and its endpoint connections, independent of their protocol."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRequest:
-    """One attempt at a request, as endpoint connections need to know it.
+    """One attempt at a request, as passed to the endpoint connections.
 
-    `may_send` is asked when a connection is there for it, which may be long after it was decided on.
+    `may_send` is called once a connection is available, which may be long after the router's decision.
     """
 
     request: ClientRequest
@@ -34,16 +34,16 @@
     may_send: Callable[[], bool] = _always
 
     def require_may_send(self) -> None:
-        """Raise CallUnprocessedError where the attempt does not fit any more."""
+        """Raise CallUnprocessedError if the attempt is no longer permitted."""
         if not self.may_send():
-            raise CallUnprocessedError("the attempt does not fit any more")
+            raise CallUnprocessedError("the router no longer permits the attempt")
 
 
 @dataclass(slots=True)
 class AttemptResponse:
     """An endpoint's response, with its replication status at that time.
 
-    `commit_position` is that of a write. An `error` beside a `transaction` says that the transaction is open
+    `commit_position` is set for writes. If both `error` and `transaction` are set, the transaction is open
     and its first statement failed.
     """
 
@@ -54,7 +54,7 @@
     error: EndpointError | None = None
 
     def discard(self) -> None:
-        """Release what the response holds of its endpoint; nobody will read it."""
+        """Release the response's unread rows and its transaction."""
         release_result(self.result, self.transaction)
 
 
@@ -71,20 +71,20 @@
     """The connections of one driver to all endpoints; `run` must be running."""
 
     async def run(self, task_status: trio.TaskStatus[None] = ...) -> None:
-        """Own the connections' tasks until cancelled."""
+        """Run the connections' tasks until cancelled."""
         ...
 
     def set_address(self, endpoint: str, host: str, port: int) -> None:
-        """Set where the endpoint is now. A new address gets new connections; old ones end when idle."""
+        """Set the endpoint's address; connections to a previous address are closed once idle."""
         ...
 
     def remove(self, endpoint: str) -> None:
-        """Send nothing new to the endpoint, which left the endpoint list."""
+        """Send nothing new to an endpoint that was removed from the endpoint list."""
         ...
 
     @property
     def connection_count(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         ...
 
     async def execute(
@@ -92,11 +92,12 @@
     ) -> AttemptResponse:
         """Make one attempt.
 
-        Sets `sent` from when the endpoint may have seen it. Raises ConnectError, CallUnprocessedError,
-        CallInterruptedError, RpcError or EndpointError, which `outcomes` reads.
+        Sets `sent` before the first byte that the endpoint may receive. Raises ConnectError,
+        CallUnprocessedError, CallInterruptedError, RpcError or EndpointError, which `outcomes` maps to an
+        `Outcome`.
         """
         ...
 
     async def check_health(self, endpoint: str) -> EndpointReport:
-        """Ask the endpoint for its report. Raises the errors of `execute`."""
+        """Request the endpoint's report. Raises the errors of `execute`."""
         ...
--- a/juniperreel/proxy/endpoint_address.py
+++ b/juniperreel/proxy/endpoint_address.py
@@ -1,4 +1,4 @@
-"""Where an endpoint listens."""
+"""The network address of an endpoint."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EndpointAddress(NamedTuple):
-    """Host and port of one endpoint."""
+    """Host and port on which an endpoint listens."""
 
     host: str
     port: int
--- a/juniperreel/proxy/grpc_endpoints.py
+++ b/juniperreel/proxy/grpc_endpoints.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that speak gRPC: one channel for each, connected when first needed.
+"""Connections to gRPC endpoints: one channel per endpoint, connected on first use.
 
 Owns the channels. Must never choose an endpoint or retry a call.
 """
@@ -28,9 +28,9 @@
 
 
 class EndpointChannel:
-    """One endpoint's channel, and how many attempts are in flight on it.
+    """The channel of one endpoint, with its number of attempts in flight.
 
-    A retired channel closes with the last attempt on it.
+    A retired channel is closed when its last attempt ends.
     """
 
     def __init__(self, address: EndpointAddress, channel: Channel) -> None:
@@ -40,18 +40,18 @@
         self.is_retired = False
 
     def retire(self) -> None:
-        """Close the channel when no attempt is in flight on it."""
+        """Close the channel as soon as no attempt is in flight on it."""
         self.is_retired = True
-        self.close_if_done()
+        self.close_if_idle()
 
-    def close_if_done(self) -> None:
-        """Close a retired channel without attempts."""
+    def close_if_idle(self) -> None:
+        """Close the channel if it is retired and no attempt is in flight."""
         if self.is_retired and not self.in_flight:
             self.channel.close()
 
 
 class GrpcEndpoints:
-    """All endpoints of one driver, where they speak gRPC; see `attempts.EndpointConnections`."""
+    """Implements `attempts.EndpointConnections` for gRPC endpoints."""
 
     def __init__(self, options: DriverOptions, network: Network, clock: Clock, rng: random.Random) -> None:
         self._options = options
@@ -62,20 +62,20 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Own the channels' tasks until cancelled."""
+        """Run the channels' tasks until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             await trio.sleep_forever()
 
     def set_address(self, endpoint: str, host: str, port: int) -> None:
-        """Set where the endpoint is now. A new address gets a new channel; the old one ends when idle."""
+        """Set the endpoint's address; a new address gets a new channel, and the old one is retired."""
         address = EndpointAddress(host, port)
-        known = self._channels.get(endpoint)
-        if known is not None and known.address == address and not known.channel.closed:
-            known.is_retired = False
+        entry = self._channels.get(endpoint)
+        if entry is not None and entry.address == address and not entry.channel.closed:
+            entry.is_retired = False
             return
-        if known is not None:
-            known.retire()
+        if entry is not None:
+            entry.retire()
         channel = Channel(
             self._network,
             self._clock,
@@ -90,27 +90,27 @@
         self._nursery.start_soon(channel.run)
 
     def remove(self, endpoint: str) -> None:
-        """Retire the channel of an endpoint that left the endpoint list."""
-        known = self._channels.get(endpoint)
-        if known is not None:
-            known.retire()
+        """Retire the channel of an endpoint that was removed from the endpoint list."""
+        entry = self._channels.get(endpoint)
+        if entry is not None:
+            entry.retire()
 
     @property
     def connection_count(self) -> int:
-        """How many channels are connected."""
+        """The number of connected channels."""
         return sum(endpoint.channel.connected for endpoint in self._channels.values())
 
     def _channel(self, endpoint: str) -> EndpointChannel:
-        """Raises ConnectTimedOutError for an endpoint without an address."""
-        known = self._channels.get(endpoint)
-        if known is None:
+        """Return the endpoint's channel. Raises ConnectTimedOutError if its address is unknown."""
+        entry = self._channels.get(endpoint)
+        if entry is None:
             raise ConnectTimedOutError(f"no address is known for {endpoint}")
-        if known.channel.closed:
-            # When the list flaps, or its removals do not forbid requests, the router sends to an endpoint
-            # whose channel was closed; without a new channel the endpoint would seem dead for ever.
-            self.set_address(endpoint, known.address.host, known.address.port)
-            known = self._channels[endpoint]
-        return known
+        if entry.channel.closed:
+            # If the endpoint list flaps, or removed endpoints may still get requests, the router sends to an
+            # endpoint whose channel is closed; without a new channel every attempt on it would fail.
+            self.set_address(endpoint, entry.address.host, entry.address.port)
+            entry = self._channels[endpoint]
+        return entry
 
     async def execute(
         self, endpoint: str, attempt: AttemptRequest, timeout_us: int, sent: trio.Event
@@ -121,26 +121,28 @@
         """
         if attempt.request.transaction_mode is not None:
             raise not_supported("transactions need members that speak MySQL")
-        known = self._channel(endpoint)
-        if known.in_flight >= self._options.max_attempts_per_endpoint:
-            raise CallUnprocessedError(f"{known.in_flight} attempts are out on the connection to {endpoint}")
-        known.in_flight += 1
+        entry = self._channel(endpoint)
+        if entry.in_flight >= self._options.max_attempts_per_endpoint:
+            raise CallUnprocessedError(
+                f"{entry.in_flight} attempts are already in flight on the connection to {endpoint}"
+            )
+        entry.in_flight += 1
         try:
-            await known.channel.connection()
+            await entry.channel.connection()
             attempt.require_may_send()
             sent.set()
-            reply = await known.channel.unary(EXECUTE, execute_message(attempt), timeout_us=timeout_us)
+            reply = await entry.channel.unary(EXECUTE, execute_message(attempt), timeout_us=timeout_us)
         finally:
-            known.in_flight -= 1
-            known.close_if_done()
+            entry.in_flight -= 1
+            entry.close_if_idle()
         try:
             response = member_pb2.ExecuteResponse.FromString(reply.message)
         except DecodeError as error:
-            raise CallInterruptedError(f"{endpoint} sent no ExecuteResponse: {error}") from error
+            raise CallInterruptedError(f"{endpoint} sent an invalid ExecuteResponse: {error}") from error
         return AttemptResponse(response.result, replication_status(response.standing), response.commit)
 
     async def check_health(self, endpoint: str) -> EndpointReport:
-        """Ask the endpoint for its report.
+        """Request the endpoint's report.
 
         Raises ConnectError, CallUnprocessedError, CallInterruptedError or RpcError.
         """
@@ -150,19 +152,19 @@
         try:
             response = member_pb2.ReportResponse.FromString(reply.message)
         except DecodeError as error:
-            raise RpcError(Code.INTERNAL, f"{endpoint} sent no ReportResponse: {error}") from error
+            raise RpcError(Code.INTERNAL, f"{endpoint} sent an invalid ReportResponse: {error}") from error
         status = replication_status(response.standing)
         return EndpointReport(status, in_flight=response.in_hand, queued=response.waiting)
 
 
 def replication_status(message: member_pb2.Standing) -> ReplicationStatus:
-    """The status in a response; its role is None where the endpoint gives none."""
+    """Convert the status in a response; `is_primary` is None if the endpoint reports no role."""
     history = History.from_starts((entry.epoch, entry.start) for entry in message.epochs)
     return ReplicationStatus(IS_PRIMARY.get(message.role), message.position, history)
 
 
 def execute_message(attempt: AttemptRequest) -> bytes:
-    """The attempt as an encoded ExecuteRequest."""
+    """Encode the attempt as an ExecuteRequest."""
     request = attempt.request
     message = member_pb2.ExecuteRequest(
         request=request.id,
@@ -174,7 +176,7 @@
         floor=attempt.required.floor,
         oldest=attempt.required.oldest,
     )
-    setattr(message, "class", attempt.class_name)  # a keyword of Python's
+    setattr(message, "class", attempt.class_name)  # `class` is a Python keyword
     for commit in attempt.required.commits:
         message.needed.add(epoch=commit.epoch, position=commit.position)
     return message.SerializeToString()
--- a/juniperreel/proxy/outcomes.py
+++ b/juniperreel/proxy/outcomes.py
@@ -1,7 +1,8 @@
-"""How an attempt or a health check ended, as an `Outcome`. Does no I/O and decides nothing.
+"""Maps the end of an attempt or a health check to an `Outcome`. Performs no I/O.
 
-Only what certainly left the endpoint's data untouched may come out as REJECTED, UNREACHABLE, NOT_SENT or
-INELIGIBLE: the router resends those freely (rule 2). Whatever is in doubt may have been executed.
+REJECTED, UNREACHABLE, NOT_SENT and INELIGIBLE are reserved for attempts that were certainly not executed,
+since the router resends those freely (rule 2). All other outcomes mean that the attempt may have been
+executed.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
     CallInterruptedError,
     RpcError,
     EndpointError,
-)  # that endpoint connections raise
+)  # raised by endpoint connections
 
 
 def outcome_of_error(error: Exception) -> Outcome:
-    """The outcome of an attempt that ended with this exception of `rpc`, `net` or endpoint connections."""
+    """Return the outcome of an attempt that raised this exception of `rpc`, `net` or this package."""
     match error:
         case EndpointError():
             return error.outcome
@@ -53,14 +54,14 @@
 
 
 def is_statement_error(error: Exception) -> bool:
-    """Whether the endpoint is well and the statement itself is at fault."""
+    """Whether the endpoint is healthy and reported an error in the statement itself."""
     if isinstance(error, EndpointError):
         return error.outcome is Outcome.OK
     return isinstance(error, RpcError) and error.reason(ERROR_DOMAIN) == STATEMENT_REASON
 
 
 def outcome_of_unfinished(sent: bool, cancelled: bool) -> Outcome:
-    """The outcome of an attempt that this side ended: at its time-out, or cancelled by the router."""
+    """Return the outcome of an attempt that the edge ended: timed out, or cancelled by the router."""
     if cancelled:
         return Outcome.CANCELLED if sent else Outcome.NOT_SENT
     return Outcome.TIMEOUT if sent else Outcome.UNREACHABLE
