--- a/juniperreel/proxy/cached_list.py
+++ b/juniperreel/proxy/cached_list.py
@@ -1,4 +1,4 @@
-"""The last good endpoint list on disk, for a start without discovery."""
+"""Caches the last valid endpoint list on disk, so that the edge can start without discovery."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class StoredList(msgspec.Struct, frozen=True, rename={"endpoints": "hosts"}):
-    """The file's content; stored fields keep their names."""
+    """The content of the file; `rename` keeps its field names."""
 
     format: int
     endpoints: list[ListedEndpoint]
-    version: int = 0  # of the configuration it comes from; 0 from the discovery service
+    version: int = 0  # of the configuration; 0 for lists from the discovery service
 
 
 class CachedList(NamedTuple):
-    """A cached endpoint list and the configuration version it comes from."""
+    """A cached endpoint list and the version of its configuration."""
 
     endpoints: list[ListedEndpoint]
     version: int
 
 
 def load_cached_list(path: Path | None, groups: int) -> CachedList:
-    """The cached list, without entries of unknown groups; empty where there is none.
+    """Load the cached list without entries of unknown groups; an empty list if there is no file.
 
     Raises CachedListError.
     """
@@ -56,7 +56,7 @@
 
 
 def save_cached_list(path: Path, endpoints: list[ListedEndpoint], version: int = 0) -> None:
-    """Replace the file atomically: written beside it, synced, then renamed over it. Raises OSError."""
+    """Replace the file atomically: write a temporary file, sync it and rename it. Raises OSError."""
     temporary = path.with_suffix(path.suffix + ".new")
     data = msgspec.json.encode(StoredList(FORMAT, endpoints, version))
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
@@ -72,7 +72,7 @@
 
 
 class CachedListWriter:
-    """Writes a source's list to disk after it changed, at most once a `WRITE_INTERVAL_S`."""
+    """Writes a source's list to disk after changes, at most once per `WRITE_INTERVAL_S`."""
 
     def __init__(self, path: Path, source: EndpointSource, log: Any) -> None:
         self._path = path
@@ -81,11 +81,11 @@
         self._changed = trio.Event()
 
     def list_changed(self) -> None:
-        """Have the list written soon."""
+        """Schedule a write of the list."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write the list after each change until cancelled."""
         while True:
             await self._changed.wait()
             self._changed = trio.Event()
@@ -93,6 +93,6 @@
             version = self._source.version
             try:
                 await trio.to_thread.run_sync(save_cached_list, self._path, endpoints, version)
-            except OSError as error:  # a full disk costs the cached list, not the service
+            except OSError as error:  # requests are served even if the disk is full
                 self._log.error("endpoint list not saved", error=str(error))
             await trio.sleep(WRITE_INTERVAL_S)
--- a/juniperreel/proxy/configuration_source.py
+++ b/juniperreel/proxy/configuration_source.py
@@ -1,6 +1,6 @@
-"""The committed configuration as the source of the endpoint list: replicated by Raft, in place of discovery.
+"""Uses the committed configuration, replicated by Raft, as the endpoint list in place of a discovery service.
 
-The newest version is cached on disk with the endpoint list; an older one never takes its place.
+The newest version number is cached on disk with the endpoint list; older configurations are ignored.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def endpoints_of(configuration: Configuration, groups: int) -> list[ListedEndpoint]:
-    """The configuration's members as an endpoint list. Primaries are those of the groups' newest epochs."""
+    """Convert the members to an endpoint list; a group's primary is that of its newest epoch."""
     endpoints = []
     for name in sorted(configuration.members):
         member = configuration.members[name]
@@ -43,7 +43,7 @@
 
 
 class ConfigurationSource(EndpointSource):
-    """One live watch on one of the Raft instances."""
+    """Watches the configuration on one of the Raft instances."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._newest = EMPTY
 
     def poll(self) -> None:
-        """Open the watch anew: its first message is the complete configuration."""
+        """Open a new watch, whose first message is the complete configuration."""
         self.subscribe(True)
 
     async def _watch(self, scope: trio.CancelScope) -> None:
@@ -72,18 +72,18 @@
         self.updated_us = self._clock.now_us()
 
     def _report_failure(self, error: str) -> None:
-        """The watch moves to another instance by itself; what is known stays in force meanwhile."""
+        """Log a failure; the client retries at another instance, and the configuration stays in use."""
         self._log("configuration watch failed", error=error)
 
     def _update(self, configuration: Configuration) -> None:
         self._newest = configuration
         if configuration.version < self.version:
-            # After a restart of the edge, an instance that lags would take it back behind its cached list.
+            # After a restart, a lagging instance must not replace the cached list with an older one.
             self._log("stale configuration ignored", version=configuration.version, newest=self.version)
             return
         self.version = configuration.version
         endpoints = endpoints_of(configuration, self._options.groups)
         if not endpoints:
-            return  # nothing is set up yet; not believed, as an empty endpoint list is not
+            return  # not set up yet; ignored, like an empty endpoint list
         self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
         self._on_update(UpdateKind.SNAPSHOT, endpoints)
--- a/juniperreel/proxy/endpoint_list.py
+++ b/juniperreel/proxy/endpoint_list.py
@@ -1,7 +1,6 @@
-"""The endpoint list as the request driver knows it, and its discovery service: polled and watched over gRPC.
+"""The request driver's endpoint list, and a client that polls and watches the discovery service over gRPC.
 
-Reports lists as they come and failures as they happen. When to poll, and when to watch again, the router
-decides.
+Reports each list and each failed call. The router decides when to poll, and when to open a new watch.
 """
 
 from __future__ import annotations
@@ -31,13 +30,13 @@
     hosts_pb2.READINESS_GONE: Readiness.REMOVED,
 }
 DISCOVERY_ERRORS = (ConnectError, CallUnprocessedError, CallInterruptedError, RpcError, DecodeError)
-MAX_LOGGED_ID = 100  # characters of an endpoint's name
-DEFAULT_CAPACITY = 1.0  # where the list gives none
+MAX_LOGGED_ID = 100  # characters of an endpoint's id in a log line
+DEFAULT_CAPACITY = 1.0  # for entries without a size
 STORED_NAMES = {"machine_type": "kind", "listed_primary": "primary", "capacity": "size"}
 
 
 class ListedEndpoint(msgspec.Struct, frozen=True, rename=STORED_NAMES):
-    """One entry of the endpoint list, as received and stored; stored fields keep their names in the file."""
+    """An entry of the endpoint list; `rename` keeps the field names of the cached list file."""
 
     id: str
     address: str
@@ -51,9 +50,9 @@
     started_us: int
 
     def router_endpoint(self, skew_us: int) -> Endpoint:
-        """The entry for the router.
+        """Convert the entry for the router.
 
-        The start counts as later than it may be by `skew_us`, so that slow start is never cut short.
+        Adds `skew_us` to the start time, so that clock skew never shortens slow start.
         """
         return Endpoint(
             id=self.id,
@@ -71,7 +70,10 @@
 
 
 def parse_endpoint(entry: hosts_pb2.Host, groups: int) -> ListedEndpoint | None:
-    """Read one entry of the discovery service's list; None if it is invalid: the others still count."""
+    """Convert an entry of the discovery service's list; None if it is invalid.
+
+    An invalid entry does not invalidate the rest of the list.
+    """
     readiness = READINESS.get(entry.readiness)
     if readiness is None or not _is_valid(entry, groups):
         return None
@@ -92,16 +94,16 @@
 def _is_valid(entry: hosts_pb2.Host, groups: int) -> bool:
     if not entry.id or not entry.address:
         return False
-    # NaN compares false, and so is no valid size.
+    # A size of NaN fails the comparison and is rejected.
     return 0 < entry.port < 65536 and entry.group < groups and entry.size >= 0
 
 
 class EndpointSource(ABC):
-    """Where the driver learns of endpoints; `run` must be running.
+    """Base of the sources of the endpoint list; `run` must be running.
 
-    Owns one watch at a time, opened and ended by the router. `endpoints` is the newest complete list by name,
-    `updated_us` when the source last sent anything, `version` that of the configuration, 0 for a service that
-    has none.
+    Owns at most one watch, which the router opens and ends. `endpoints` is the newest complete list by id,
+    `updated_us` the time of the source's last message, and `version` the version of the configuration, 0 for
+    a source without versions.
     """
 
     def __init__(
@@ -110,14 +112,14 @@
         clock: Clock,
         on_update: UpdateListener,
         log: Callable[..., None],
-        link: Channel | ConfigurationClient,
+        client: Channel | ConfigurationClient,
     ) -> None:
-        """`on_update` is called for every list and every failed call; `log` writes a warning."""
+        """`on_update` is called for each list, delta and failed call; `log` writes a warning."""
         self._options = options
         self._clock = clock
         self._on_update = on_update
         self._log = log
-        self._link = link
+        self._client = client
         self._nursery: trio.Nursery | None = None
         self._watch_scope: trio.CancelScope | None = None
         self.endpoints: dict[str, ListedEndpoint] = {}
@@ -125,14 +127,14 @@
         self.version = 0
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Own the connection and the tasks of polls and watches until cancelled."""
+        """Run the connection and the tasks of polls and watches until cancelled."""
         async with trio.open_nursery() as self._nursery:
-            await self._nursery.start(self._link.run)
+            await self._nursery.start(self._client.run)
             task_status.started()
             await trio.sleep_forever()
 
     def subscribe(self, enabled: bool) -> None:
-        """Open the watch anew, or end it."""
+        """Open a new watch in place of the current one, or end it."""
         assert self._nursery is not None
         if self._watch_scope is not None:
             self._watch_scope.cancel()
@@ -143,7 +145,7 @@
 
     @abstractmethod
     def poll(self) -> None:
-        """Request the complete list once, without waiting for it."""
+        """Request the complete list once, without waiting for the response."""
 
     @abstractmethod
     async def _watch(self, scope: trio.CancelScope) -> None:
@@ -151,7 +153,7 @@
 
 
 class EndpointListClient(EndpointSource):
-    """One driver's client of the discovery service."""
+    """A driver's client of the discovery service."""
 
     def __init__(
         self,
@@ -167,7 +169,7 @@
         super().__init__(options, clock, on_update, log, self._channel)
 
     def poll(self) -> None:
-        """Request the complete list once, without waiting for it."""
+        """Request the complete list once, without waiting for the response."""
         assert self._nursery is not None
         self._nursery.start_soon(self._poll)
 
@@ -190,21 +192,21 @@
             self._report_failure(error)
 
     async def _read_watch(self) -> TimeoutError:
-        """Report updates until the watch ends; the reason is returned, or raised as a discovery error.
+        """Report updates until the watch ends; return the reason, or raise it as a discovery error.
 
-        A service that never sends a first message must not be waited for.
+        The wait for the first message has a time-out, as the service may accept a watch and never respond.
         """
         request = hosts_pb2.WatchRequest(edge=self._options.name).SerializeToString()
-        with trio.CancelScope() as first_message:
-            first_message.deadline = trio.current_time() + self._options.discovery_timeout_us / US
+        with trio.CancelScope() as first_message_scope:
+            first_message_scope.deadline = trio.current_time() + self._options.discovery_timeout_us / US
             async with self._channel.streaming(WATCH, request) as messages:
                 async for data in messages:
-                    first_message.deadline = float("inf")
+                    first_message_scope.deadline = float("inf")
                     update = hosts_pb2.WatchResponse.FromString(data)
                     self._update(update.full, update.hosts)
-        if first_message.cancelled_caught:
-            return TimeoutError("no list in time")
-        return TimeoutError("the watch ended")
+        if first_message_scope.cancelled_caught:
+            return TimeoutError("the discovery service sent no endpoint list before the time-out")
+        return TimeoutError("the discovery service ended the watch")
 
     def _report_failure(self, error: Exception) -> None:
         self._log("endpoint list call failed", error=str(error))
@@ -219,9 +221,9 @@
             else:
                 endpoints.append(endpoint)
         if is_snapshot and not endpoints:
-            # An empty endpoint list is a fault of discovery far more often than the truth; believed, it would
-            # have every request rejected.
-            self._report_failure(ValueError("the endpoint list is empty"))
+            # An empty endpoint list is far more often a fault of the discovery service than correct, and
+            # applying it would cause every request to be rejected.
+            self._report_failure(ValueError("the discovery service sent an empty endpoint list"))
             return
         self.updated_us = self._clock.now_us()
         if is_snapshot:
