--- a/juniperreel/proxy/errors.py
+++ b/juniperreel/proxy/errors.py
@@ -1,4 +1,4 @@
-"""The errors that this package raises."""
+"""Exceptions raised by the request driver and its endpoint connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from juniperreel.routing.types import Outcome
 
-# Sent to clients for what this program cannot do: ER_NOT_SUPPORTED_YET and ER_NET_PACKET_TOO_LARGE.
+# MySQL error codes sent to clients: ER_NOT_SUPPORTED_YET and ER_NET_PACKET_TOO_LARGE.
 NOT_SUPPORTED_CODE = 1235
 NOT_SUPPORTED_STATE = "42000"
 TOO_LARGE_CODE = 1153
@@ -14,14 +14,14 @@
 
 
 class ProxyError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's exceptions."""
 
 
 class EndpointError(ProxyError):
-    """What an endpoint answered with instead of a result.
+    """An error that an endpoint returned instead of a result.
 
-    With `Outcome.OK` the statement itself is at fault; `code` and `sql_state` are then MySQL's, for clients
-    that know them.
+    `Outcome.OK` marks an error in the statement itself; `code` and `sql_state` are then the MySQL values to
+    send to MySQL clients.
     """
 
     def __init__(self, outcome: Outcome, message: str, code: int = 0, sql_state: str = "") -> None:
@@ -33,7 +33,7 @@
 
 
 class CachedListError(ProxyError, ValueError):
-    """The file is no endpoint list that this program can read."""
+    """The cached endpoint list is invalid or has an unsupported format."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path} {reason}")
@@ -42,7 +42,7 @@
 
 
 class TransactionError(ProxyError):
-    """A transaction ended without its client's commit being confirmed."""
+    """A transaction ended without a confirmed commit."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -50,18 +50,18 @@
 
 
 class TransactionRolledBackError(TransactionError):
-    """The transaction is over and nothing of it took effect."""
+    """The transaction ended without effect."""
 
 
 class TransactionOutcomeUnknownError(TransactionError):
-    """The transaction is over; whether it took effect is not known."""
+    """The transaction ended, and whether it was committed is unknown."""
 
 
 def not_supported(message: str) -> EndpointError:
-    """The error for a statement that this program cannot pass on."""
+    """Return the error for a statement that the edge does not support."""
     return EndpointError(Outcome.OK, message, NOT_SUPPORTED_CODE, NOT_SUPPORTED_STATE)
 
 
 def too_large(message: str) -> EndpointError:
-    """The error for a result that is longer than this program may hold."""
+    """Return the error for a result that exceeds the edge's limit."""
     return EndpointError(Outcome.OK, message, TOO_LARGE_CODE, TOO_LARGE_STATE)
--- a/juniperreel/proxy/open_requests.py
+++ b/juniperreel/proxy/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests between their arrival and the end of their last attempt, and the events that concern them."""
+"""Open requests, their attempts, and the host events that the request driver processes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from juniperreel.proxy.requests import Answer, ClientRequest, Failed, Rejected, Served
 from juniperreel.routing.types import ClientDisconnected, Consistency, Outcome, RequestClass, UpdateKind
 
-# Outcomes that suggest an endpoint at the limit of its capacity.
+# Outcomes that indicate an endpoint at its capacity limit.
 CONGESTION_OUTCOMES = (Outcome.REJECTED, Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 class OpenRequest:
-    """A request in flight, with its attempts. Its first answer is the final one."""
+    """A request from its arrival to the end of its last attempt; it gets exactly one answer."""
 
     __slots__ = (
         "answer",
@@ -38,13 +38,13 @@
         self.answered = trio.Event()
         self.attempt_count = 0
         self.in_flight: dict[int, Attempt] = {}
-        self.routed_us = 0  # when it was handed to the router
+        self.routed_us = 0  # time of its event in a batch for the router
         self.served_us: int | None = None  # duration of the attempt that served it
-        self.last_outcome: Outcome | None = None  # of its last attempt that ended without serving it
+        self.last_outcome: Outcome | None = None  # of the last attempt that did not serve it
 
     @property
     def id(self) -> str:
-        """The request's id, unique among all that this edge has ever taken."""
+        """The request's id, unique across restarts of the edge."""
         return self.request.id
 
     @property
@@ -53,22 +53,22 @@
         return self.request_class.consistency is Consistency.WRITE
 
     def set_answer(self, answer: Answer) -> None:
-        """Hand the answer to whoever waits for it."""
+        """Set the answer, and wake the task that waits for it."""
         self.answer = answer
         self.answered.set()
 
     def service_time_us(self) -> int | None:
-        """Duration of the attempt that served it; None where it was answered otherwise."""
+        """Return the duration of the attempt that served it; None if it was not served."""
         return self.served_us if isinstance(self.answer, Served) else None
 
     def was_lost_to_congestion(self) -> bool:
-        """Whether it ended unserved, its last attempt at an endpoint that was at its limit."""
+        """Whether it was not served and its last attempt ended with an outcome that indicates congestion."""
         return isinstance(self.answer, Rejected | Failed) and self.last_outcome in CONGESTION_OUTCOMES
 
     def rejection_reason(self, now_us: int) -> str:
-        """Why the router rejected it, for operators.
+        """Return a reason for the router's rejection, for operators.
 
-        The router gives no reason; what the driver saw of the request tells.
+        The router gives no reason; it is inferred from the request's attempts and the time of routing.
         """
         if self.last_outcome is not None:
             return f"attempts failed, the last by {self.last_outcome.value}"
@@ -80,7 +80,7 @@
 
 
 class Attempt:
-    """One attempt in flight. `sent` is set from when the endpoint may have seen it."""
+    """An attempt in flight; `sent` is set before the endpoint may receive any of it."""
 
     __slots__ = (
         "cancel_scope",
@@ -96,7 +96,7 @@
     def __init__(
         self, open_request: OpenRequest, endpoint: str, required: RequiredPosition, now_us: int
     ) -> None:
-        """Add the request's next attempt to those in flight."""
+        """Register as the request's next attempt in flight."""
         self.open_request = open_request
         self.number = open_request.attempt_count
         self.endpoint = endpoint
@@ -109,14 +109,17 @@
         open_request.in_flight[self.number] = self
 
     def cancel(self) -> None:
-        """Cancel it; its end is still reported."""
+        """Cancel the attempt; its end is still reported as an event."""
         self.cancelled = True
         self.cancel_scope.cancel()
 
 
 @dataclass(slots=True)
 class AttemptCompleted:
-    """The one end of an attempt: with a response, an error, or neither where this side ended it."""
+    """The end of an attempt: with a response, an error, or neither if the edge ended it.
+
+    Each attempt ends exactly once.
+    """
 
     attempt: Attempt
     outcome: Outcome
@@ -126,18 +129,18 @@
 
     @property
     def duration_us(self) -> int:
-        """From the router's decision to the end."""
+        """The time from the router's decision to the end of the attempt."""
         return self.ended_us - self.attempt.started_us
 
     def discard_response(self) -> None:
-        """Release what the response, if there is one, holds of its endpoint."""
+        """Release the rows and the transaction of the response, if any."""
         if self.response is not None:
             self.response.discard()
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """The one end of a health check."""
+    """The end of a health check; each one ends exactly once."""
 
     endpoint: str
     outcome: Outcome
@@ -147,7 +150,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdated:
-    """A message of the endpoint list's source, or a failed call to it."""
+    """A message from the source of the endpoint list, or a failed call to it."""
 
     kind: UpdateKind
     endpoints: list[ListedEndpoint]
--- a/juniperreel/proxy/request_admission.py
+++ b/juniperreel/proxy/request_admission.py
@@ -1,6 +1,6 @@
-"""Takes requests through admission control: who may go on to the router, who waits, and who is rejected.
+"""Submits requests to the admission controller, and carries out its decisions.
 
-Owns the requests that wait at the controller. The controller decides; this module carries its decisions out.
+Owns the requests that wait for admission.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class RequestAdmission:
-    """The requests in front of one controller, by id in `waiting`.
+    """Requests that wait for one admission controller, by id in `waiting`.
 
-    `on_admitted` is called with each request that the controller admits, `on_decisions` after each
-    round of decisions, when the controller's next timer may have changed.
+    `on_admitted` is called with each request that the controller admits, `on_decisions` after each batch of
+    decisions, when the controller's next timer may have changed.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.waiting: dict[str, OpenRequest] = {}
 
     def submit(self, open_request: OpenRequest) -> None:
-        """Bring a request before the controller; it is admitted, rejected or left waiting."""
+        """Submit a request to the controller, which admits it, rejects it or leaves it waiting."""
         now = self._clock.now_us()
         request = open_request.request
         self.waiting[request.id] = open_request
@@ -55,7 +55,10 @@
         self._apply(self._controller.on_arrival(now, arrival))
 
     def check(self, class_index: int, tenant_index: int, group: int, deadline_us: int) -> Rejected | None:
-        """The rejection that a request arriving now would get, before anything is spent on it."""
+        """Return the rejection that a request arriving now would get, None if it would not be rejected.
+
+        Front ends call this before they spend work on parsing the request.
+        """
         now = self._clock.now_us()
         remaining_us = deadline_us - self._answer_margin_us - now
         rejection = self._controller.reject_early(now, class_index, tenant_index, group, remaining_us)
@@ -65,14 +68,14 @@
         return Rejected(rejection.reason, rejection.retry_after_us, local=True)
 
     def withdraw(self, request_id: str) -> bool:
-        """Remove a waiting request whose client disconnected. Returns False if it doesn't wait any more."""
+        """Remove a waiting request whose client disconnected. Returns False if it is not waiting."""
         if self.waiting.pop(request_id, None) is None:
             return False
         self._apply(self._controller.on_client_disconnected(self._clock.now_us(), request_id))
         return True
 
     def request_ended(self, open_request: OpenRequest) -> None:
-        """Report the end of an admitted request, which makes room for others."""
+        """Report the end of an admitted request, which may admit waiting ones."""
         service_time_us = open_request.service_time_us()
         lost = open_request.was_lost_to_congestion()
         self._apply(
@@ -80,7 +83,7 @@
         )
 
     def process_due(self, now_us: int) -> None:
-        """Carry out what the controller's deadlines bring about."""
+        """Advance the controller's timers, and carry out the resulting decisions."""
         self._apply(self._controller.on_timer(now_us))
 
     def _apply(self, decisions: list[Decision]) -> None:
@@ -99,5 +102,5 @@
     def _admit(self, request_id: str, open_request: OpenRequest | None) -> None:
         if open_request is not None:
             self._on_admitted(open_request)
-        else:  # its client has disconnected: give the place to the next one
+        else:  # its client has disconnected: free the slot for the next request
             self._apply(self._controller.on_finished(self._clock.now_us(), request_id, None))
--- a/juniperreel/proxy/request_table.py
+++ b/juniperreel/proxy/request_table.py
@@ -1,4 +1,4 @@
-"""Owns the open requests of one driver, from their admission to the end of their last attempt."""
+"""The table of a driver's open requests, from their admission to the end of their last attempt."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from juniperreel.proxy.request_admission import RequestAdmission
 from juniperreel.proxy.requests import Answer, Failed
 
-CLIENT_DISCONNECTED = "the client left"  # the reason, as metrics show it
+CLIENT_DISCONNECTED = "the client left"  # reason of the answer, used as a metric label
 
 
 class RequestTable:
-    """The open requests by id; its length is their number.
+    """Open requests by id.
 
-    Each request gets exactly one answer. It stays in the table until it has one and no attempt is in flight.
+    Each request gets exactly one answer, and stays in the table until it is answered and no attempt is in
+    flight.
     """
 
     def __init__(self, admission: RequestAdmission, log: Any) -> None:
-        """`admission` is notified of each answer; its waiting requests count as not idle."""
+        """`admission` is notified of each answer; the table is not idle while requests wait there."""
         self._admission = admission
         self._log = log
         self._requests: dict[str, OpenRequest] = {}
@@ -33,7 +34,7 @@
         return self._requests[request_id]
 
     def get(self, request_id: str | None) -> OpenRequest | None:
-        """The request, None if it is not open."""
+        """Return the request, None if it is not open."""
         return None if request_id is None else self._requests.get(request_id)
 
     def add(self, open_request: OpenRequest) -> None:
@@ -41,7 +42,7 @@
         self._requests[open_request.id] = open_request
 
     def answer(self, open_request: OpenRequest, answer: Answer) -> None:
-        """Answer the request, if it has no answer: the first one is final."""
+        """Answer the request unless it is already answered."""
         if open_request.answer is not None:
             return
         open_request.set_answer(answer)
@@ -59,7 +60,7 @@
         self.remove_if_done(open_request)
 
     def withdraw(self, request_id: str) -> None:
-        """Count a request whose client disconnected as ended; no answer reaches anybody."""
+        """End a request whose client disconnected; its answer is not delivered."""
         open_request = self.get(request_id)
         if open_request is not None and open_request.answer is None:
             self.finish(open_request, Failed(CLIENT_DISCONNECTED, open_request.attempt_count))
@@ -71,7 +72,7 @@
             self.notify_if_idle()
 
     def notify_if_idle(self) -> None:
-        """Wake `wait_until_idle` if nothing is open or waiting for admission."""
+        """Wake `wait_until_idle` if no request is open or waiting for admission."""
         if self._is_idle():
             self._idle.set()
 
--- a/juniperreel/proxy/requests.py
+++ b/juniperreel/proxy/requests.py
@@ -1,4 +1,4 @@
-"""What passes between a frontend and the request driver: requests, answers and transactions."""
+"""Interface between front ends and the request driver: requests, answers and transactions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TransactionMode(Enum):
-    """The kind of transaction that a request begins."""
+    """The access mode of a transaction that a request begins."""
 
     READ_WRITE = "read write"
     READ_ONLY = "read only"
@@ -23,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """The end of a transaction. `token` is empty where its commit position is not known."""
+    """The result of a transaction's last statement; `token` is empty if the commit position is unknown."""
 
     result: Result
     token: Token
 
 
 class Transaction(Protocol):
-    """An open transaction, owned by the frontend whose request began it; see `transactions`."""
+    """An open transaction, owned by the front end whose request began it; see `transactions`."""
 
-    state: SessionState  # of its connection
-    tainted: bool  # it left something on its connection, which must not be reused
+    state: SessionState  # of the transaction's connection
+    tainted: bool  # the connection may have session state that cannot be replayed; it must not be reused
 
     @property
     def open(self) -> bool:
-        """Whether further statements can be executed in it."""
+        """Whether further statements can be executed in the transaction."""
         ...
 
     async def run(self, statement: Statement, stream: bool = True) -> Result:
@@ -45,17 +45,17 @@
         ...
 
     async def finish(self, statement: Statement, commits: bool = True) -> TransactionResult:
-        """Execute the last statement, a commit or a rollback."""
+        """Execute the transaction's last statement, a commit or a rollback."""
         ...
 
     def release(self) -> None:
-        """Give the connection back; a transaction that is still open is rolled back."""
+        """Release the connection, rolling the transaction back if it is still open."""
         ...
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request as parsed by a frontend. The driver assigns `id`."""
+    """A request as parsed by a front end; the driver assigns `id`."""
 
     class_index: int
     tenant_index: int
@@ -67,31 +67,31 @@
     idempotency_key: str = ""
     token: Token = EMPTY
     is_retry: bool = False
-    received_us: int = 0  # when its bytes could first have been read; 0 where that is not known
+    received_us: int = 0  # earliest time at which its bytes could be read; 0 if unknown
     id: str = ""
-    binary_rows: bool = False  # rows in MySQL's binary form, where the endpoint speaks MySQL
-    accepts_stream: bool = False  # its frontend can pass on a result in parts
+    binary_rows: bool = False  # MySQL endpoints return rows in the binary protocol
+    accepts_stream: bool = False  # the front end can stream the result
     transaction_mode: TransactionMode | None = None  # None: a single statement
-    taints_connection: bool = False  # its connection must not be reused afterwards
-    session_state: SessionState = INITIAL_SESSION_STATE  # what the session has changed of its connections
-    last_insert_id: int | None = None  # to be set on the connection first
+    taints_connection: bool = False  # the connection must not be reused afterwards
+    session_state: SessionState = INITIAL_SESSION_STATE  # replayed on the connection first
+    last_insert_id: int | None = None  # set on the connection first
 
 
 def release_result(result: Any, transaction: Transaction | None) -> None:
-    """Give back what an answer that nobody takes holds of its endpoint."""
-    rest = getattr(result, "remaining_rows", None)
-    if rest is not None:
-        rest.close()
+    """Release the unread rows and the transaction of a result that will not be delivered."""
+    remaining_rows = getattr(result, "remaining_rows", None)
+    if remaining_rows is not None:
+        remaining_rows.close()
     if transaction is not None:
         transaction.release()
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """An endpoint's result.
+    """The request was served.
 
-    `result` is a juniperreel.common.v1.ResultSet, or a pool.Result of an endpoint that speaks MySQL; one with
-    a `rest` must be read to its end or closed. `transaction` must be released.
+    `result` is a juniperreel.common.v1.ResultSet, or a pool.Result of a MySQL endpoint; its `remaining_rows`,
+    if any, must be read to the end or closed. `transaction` must be released.
     """
 
     result: Any
@@ -103,7 +103,7 @@
 
 
 class MysqlErrorCode(NamedTuple):
-    """Error number and SQLSTATE as an endpoint that speaks MySQL sent them."""
+    """Error code and SQLSTATE that a MySQL endpoint returned."""
 
     code: int
     sql_state: str
@@ -111,27 +111,30 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementFailed:
-    """An endpoint read the statement and reported an error in it; nothing took effect."""
+    """The endpoint reported an error in the statement, which took no effect."""
 
-    status_code: int  # a gRPC status
+    status_code: int  # gRPC status code
     message: str
     details: tuple[Message, ...] = ()
-    mysql_error: MysqlErrorCode | None = None  # of an endpoint that speaks MySQL
+    mysql_error: MysqlErrorCode | None = None  # from a MySQL endpoint
     transaction: Transaction | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Nothing took effect that a retry could double. `retry_after_us` is 0 where there is no hint."""
+    """The request was rejected, and a retry cannot duplicate an effect.
+
+    `retry_after_us` is 0 if there is no retry-after hint.
+    """
 
     reason: str
     retry_after_us: int
-    local: bool = False  # by a limit of this program, before the router saw the request
+    local: bool = False  # by a limit of this edge, before the request reached the router
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The effect is unknown."""
+    """The request failed, and its effect is unknown."""
 
     reason: str
     attempts: int = 0
