--- a/juniperreel/proxy/__init__.py
+++ b/juniperreel/proxy/__init__.py
@@ -1,6 +1,7 @@
-"""Hosts one `Router` for the edge: feeds it events and carries out its actions. Decides nothing.
+"""Hosts a `Router` in the edge: passes it events and carries out its actions. Makes no routing decisions.
 
-A request's way is frontend, driver, router, driver, endpoint, driver, frontend, and no other.
+Every request passes from the front end through the driver to the router, and from the router through the
+driver to an endpoint; the response returns to the front end through the driver. There is no other path.
 """
 
 from juniperreel.proxy.errors import TransactionOutcomeUnknownError, TransactionRolledBackError
--- a/juniperreel/proxy/gauges.py
+++ b/juniperreel/proxy/gauges.py
@@ -1,4 +1,4 @@
-"""Writes the driver's gauges to the metrics once a second, and watches the clock's drift."""
+"""Updates the driver's gauges once a second, and logs excessive drift of the wall clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GaugeSources:
-    """The parts of a driver that gauges are read from; nothing here is written to."""
+    """The parts of a driver that gauges are read from; none of them is modified."""
 
     open_requests: RequestTable
     waiting_requests: dict[str, OpenRequest]
@@ -34,7 +34,7 @@
 
 
 class GaugeReporter:
-    """Reports one driver's gauges; `skew_us` bounds the drift of wall time that positions allow for."""
+    """Reports one driver's gauges; a drift of the wall clock beyond `skew_us` is logged."""
 
     def __init__(self, sources: GaugeSources, metrics: Metrics, clock: Clock, skew_us: int, log: Any) -> None:
         self._sources = sources
@@ -44,7 +44,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Update all gauges once per `INTERVAL_S` until cancelled."""
         while True:
             await trio.sleep(INTERVAL_S)
             self._report_discovery()
--- a/juniperreel/proxy/positions.py
+++ b/juniperreel/proxy/positions.py
@@ -1,11 +1,11 @@
-"""Translates log positions between the groups' clocks and the router's, always on the safe side. No I/O.
+"""Translates log positions between the clocks of groups and the router's clock. Performs no I/O.
 
-The router compares positions by number. What a number means depends on its epoch: after a failover the
-same number may name a commit that the group no longer holds. Only this module knows both,
-and it reports a smaller number whenever it is not sure.
+The router compares positions as numbers, but the meaning of a number depends on its epoch: after a failover,
+the same number may stand for a commit that the group has lost. This module knows both, and reports the
+smaller position when in doubt.
 
-One mapping serves applied and required positions alike (minus the bound on clock skew), so that comparing
-the two loses nothing, while a position compared with this clock counts as older than it may be.
+Applied and required positions are mapped in the same way, by subtracting the bound on clock skew. Comparing
+the two is therefore exact, while a position compared with the edge's clock appears older than it may be.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from juniperreel.pool.errors import InvalidGtidError
 from juniperreel.pool.gtid import Gtid, GtidSet
 
-MAX_TRACKED_COMMITS = 10_000  # per group; only those of the last moments before a failover matter
-NEVER_REACHED_US = 1 << 60  # a position later than any clock's reading
+MAX_TRACKED_COMMITS = 10_000  # per group; only commits shortly before a failover matter
+NEVER_REACHED_US = 1 << 60  # a position beyond any reading of a clock
 
 
 class EpochPosition(NamedTuple):
@@ -30,7 +30,7 @@
 
 
 class CarriedCommit(NamedTuple):
-    """A commit of an ended epoch that a later epoch is known to hold."""
+    """A commit of an ended epoch that is known to be part of a later epoch."""
 
     group: int
     epoch: int
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationStatus:
-    """What an endpoint reports of itself: role, applied position, and its history of epochs.
+    """An endpoint's reported role, applied position and epoch history.
 
-    `clock_us` is the endpoint's own clock at the time of the report; a primary holds all that was committed
-    on it until then. `is_primary` is None where the role is unknown.
+    `clock_us` is the endpoint's clock at the time of the report; a primary has applied everything that was
+    committed on it until then. `is_primary` is None if the role is unknown.
     """
 
     is_primary: bool | None
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequiredPosition:
-    """What an endpoint must have applied to serve a read.
+    """The positions that an endpoint must have applied to serve a read.
 
-    `commits` are positions within their epochs; `floor` and `oldest` are positions of any epoch, from the
-    session's token and from the bound on staleness.
+    `commits` are positions within their epochs. `floor`, from the session's token, and `oldest`, from the
+    bound on staleness, are positions in any epoch.
     """
 
     commits: tuple[EpochPosition, ...] = ()
@@ -91,21 +91,21 @@
 
 
 class PositionTracker:
-    """Owns the newest epoch history that any endpoint of each group has reported."""
+    """Owns the newest epoch history that any endpoint of a group has reported, for each group."""
 
     def __init__(self, skew_us: int) -> None:
-        """`skew_us` bounds the difference between the clocks of groups and this program."""
+        """`skew_us` is the bound on the difference between the clocks of groups and of the edge."""
         self.skew_us = skew_us
         self._newest: dict[int, History] = {}
-        self._commits: dict[int, deque[Commit]] = {}  # by group, the latest last
+        self._commits: dict[int, deque[Commit]] = {}  # by group, in order of confirmation
         self._carried: OrderedDict[CarriedCommit, None] = OrderedDict()
 
     def history(self, group: int) -> History:
-        """The newest history known of the group; an empty one where nothing is known."""
+        """Return the group's newest known history, an empty one if none is known."""
         return self._newest.get(group, History(()))
 
     def record_status(self, group: int, status: ReplicationStatus) -> None:
-        """Take over the reported history if it is newer than the known one."""
+        """Record the reported history if it is newer than the known one."""
         known = self.history(group)
         reported = status.history
         if not reported.starts:
@@ -115,22 +115,22 @@
             self._newest[group] = reported
 
     def is_deposed(self, group: int, status: ReplicationStatus) -> bool:
-        """Whether the endpoint lives in an epoch that is known to have ended."""
+        """Whether the endpoint's epoch is known to have ended."""
         return bool(status.history.starts) and status.history.epoch < self.history(group).epoch
 
     def is_primary(self, group: int, status: ReplicationStatus) -> bool | None:
-        """The endpoint's role, None where it is unknown.
+        """Whether the endpoint is a primary, None if its role is unknown.
 
-        A deposed primary goes on claiming the role; only its epoch shows that it lost it.
+        A deposed primary may still report itself as primary; only its epoch shows that it is not.
         """
         if status.is_primary and self.is_deposed(group, status):
             return False
         return status.is_primary
 
     def applied_position(self, group: int, status: ReplicationStatus) -> int:
-        """The endpoint's applied position on the router's clock.
+        """Return the endpoint's applied position on the router's clock.
 
-        Of an endpoint in an ended epoch only what the next epoch took over counts.
+        For an endpoint in an ended epoch, the position is limited to the start of the next epoch.
         """
         position = status.position
         if status.is_primary:
@@ -140,23 +140,26 @@
             position = min(position, *later) if later else 0
         return position - self.skew_us
 
-    # Commits around a failover.
+    # Commits before a failover.
 
     def record_commit(self, group: int, epoch: int, position: int, gtids: str) -> None:
-        """Remember a commit that an endpoint speaking MySQL confirmed to this driver.
+        """Record a commit that a MySQL endpoint confirmed to this driver.
 
-        Its position is rounded up to the endpoint's clock and so may lie beyond the start of the next epoch
-        although that epoch holds the commit; then its GTID decides.
+        Its position is rounded up to the endpoint's clock, and may therefore be beyond the start of the next
+        epoch although that epoch includes the commit. Its GTID then decides whether the commit was lost.
         """
         try:
             gtid = Gtid.parse(gtids)
         except InvalidGtidError:
-            return  # none was sent, or one of an unknown kind: only the position counts
+            return  # no GTID, or one in an unknown format: the position decides
         commits = self._commits.setdefault(group, deque(maxlen=MAX_TRACKED_COMMITS))
         commits.append(Commit(epoch, position, gtid))
 
     def record_executed_gtids(self, group: int, status: ReplicationStatus, gtids: str) -> None:
-        """Look up commits of earlier epochs among the GTIDs that an endpoint executed; the rest are lost."""
+        """Look up the commits of earlier epochs in the GTIDs that an endpoint has executed.
+
+        Commits that are not among them were lost.
+        """
         commits = self._commits.get(group)
         epoch = status.history.epoch
         if not commits or not any(c.epoch < epoch for c in commits) or self.is_deposed(group, status):
@@ -176,7 +179,7 @@
             self._carried.popitem(last=False)
 
     def with_carried_commits(self, group: int, token: Token) -> Token:
-        """The token, with commits that a later epoch is known to hold replaced by that epoch's start."""
+        """Return the token with each carried commit replaced by the start of the next epoch."""
         if not self._carried:
             return token
         known = self.history(group)
@@ -192,15 +195,15 @@
         return token if entries == dict(token.entries) else Token.from_entries(entries, token.floor)
 
     def holds_commit(self, group: int, epoch: int, commit_position: int) -> bool:
-        """Whether a commit confirmed just now is part of the newest history known."""
+        """Whether a commit that was just confirmed is part of the newest known history."""
         known = self.history(group)
         return not known.starts or epoch > known.epoch or known.contains(epoch, commit_position)
 
     def session_age(self, now_us: int, group: int, token: Token) -> int | None:
-        """How long ago, on the router's clock, the position lies that a read must see; None for none.
+        """Return the age, on the router's clock, of the position that a read requires; None if there is none.
 
-        Of a commit that no known history holds the position is one that is never reached: the router
-        waits and then rejects, as with any position that no endpoint is known to have reached.
+        A lost commit requires a position that is never reached, so the router waits and then rejects the
+        request, as with any position that no endpoint is known to have reached.
         """
         known = self.history(group)
         commits = token.positions_in(group)
@@ -216,7 +219,7 @@
     def required_position(
         self, now_us: int, group: int, token: Token, max_staleness_us: int | None
     ) -> RequiredPosition:
-        """What is demanded of the endpoint itself, which knows its own epoch and position best."""
+        """Return the requirement for the endpoint itself, which knows its own epoch and position best."""
         oldest = 0 if max_staleness_us is None else max(0, now_us + self.skew_us - max_staleness_us)
         commits = tuple(EpochPosition(*pair) for pair in token.positions_in(group))
         return RequiredPosition(commits, token.floor, oldest)
--- a/juniperreel/proxy/request_driver.py
+++ b/juniperreel/proxy/request_driver.py
@@ -1,8 +1,8 @@
-"""The edge's request driver: one task owns one router, by the loop that all programs share.
+"""The edge's request driver: a single task that owns a router and runs the shared `RouterLoop`.
 
-Admission says which requests are taken at all, and when. Whatever happens from then on is enqueued; the task
-hands all of it to the router as one batch, its timers last, and carries out the actions that come back.
-Attempts and health checks are tasks of their own that end by enqueueing an event.
+Admission control decides which requests are accepted, and when. All later events are enqueued; the task
+passes them to the router in one batch, timers last, and carries out the actions that the router returns.
+Attempts and health checks run as separate tasks that enqueue an event when they end.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 from juniperreel.telemetry.metrics import Metrics
 from juniperreel.telemetry.traces import Traces
 
-# Reasons of answers, as clients and metrics see them.
+# Reasons of answers, sent to clients and used as metric labels.
 POLICY_RAISED = "the edge failed on this request"
 EFFECT_UNKNOWN = "the effect is unknown"
 
@@ -68,8 +68,8 @@
 class RequestDriver(RouterLoop[HostEvent]):
     """Hosts one router; `run` must be running before requests are submitted.
 
-    Owns the open requests. Every submitted request gets exactly one answer, and nothing goes out to an
-    endpoint after it.
+    Owns the open requests. Every submitted request gets exactly one answer, and nothing is sent to an
+    endpoint after that answer.
     """
 
     def __init__(
@@ -82,7 +82,10 @@
         traces: Traces,
         stall_monitor: StallMonitor | None = None,
     ) -> None:
-        """Start idle; `stall_monitor` measures event loop stalls for admission. Raises ValueError."""
+        """Create an idle driver; `stall_monitor` measures event loop stalls for admission.
+
+        Raises ValueError for invalid options.
+        """
         rng = random.Random(options.seed)
         super().__init__(options.router, rng.getrandbits(64))
         self.options = options
@@ -156,10 +159,10 @@
         return CachedListWriter(options.cached_list_path, self.discovery, self.log)
 
     def _new_id_prefix(self, rng: random.Random) -> str:
-        """A prefix of request ids for this incarnation of the edge.
+        """Return a prefix of request ids that is unique to this incarnation of the edge.
 
-        With a fixed seed alone, a restarted edge would use the ids of its last incarnation again, and two
-        requests would pass for one wherever requests are identified by them.
+        If the prefix depended on the seed alone, a restarted edge would reuse the ids of its previous
+        incarnation, and two requests with the same id would be taken for one.
         """
         incarnation = (rng.getrandbits(32) ^ self.clock.now_us()) & 0xFFFFFFFF
         return f"{self.options.name}-{incarnation:08x}-"
@@ -167,7 +170,7 @@
     # Life cycle.
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled. Raises CachedListError."""
+        """Load the cached endpoint list, and serve until cancelled. Raises CachedListError."""
         cached = load_cached_list(self.options.cached_list_path, self.options.groups)
         self.discovery.version = cached.version
         async with trio.open_nursery() as self._nursery:
@@ -196,19 +199,19 @@
         self.admission_controller.shutting_down = True
         await self.open_requests.wait_until_idle()
 
-    # Requests, as frontends submit them.
+    # Requests from front ends.
 
     async def execute(self, request: ClientRequest) -> Answer:
-        """The request's one final answer. Cancelled, the request is withdrawn and nothing more goes out."""
+        """Submit a request and return its only answer; cancellation withdraws the request."""
         submitted = self.submit(request)
         if isinstance(submitted, Rejected):
             return submitted
         return await self.wait_for_answer(submitted)
 
     def submit(self, request: ClientRequest) -> OpenRequest | Rejected:
-        """Bring a request before admission, without waiting.
+        """Submit a request to admission without waiting.
 
-        An open request must be passed to `wait_for_answer` or `client_disconnected`.
+        The returned open request must be passed to `wait_for_answer` or `client_disconnected`.
         """
         request.id = f"{self._id_prefix}{next(self._ids):x}"
         open_request = OpenRequest(request, self.options.router.classes[request.class_index])
@@ -218,12 +221,12 @@
         return open_request
 
     async def wait_for_answer(self, open_request: OpenRequest) -> Answer:
-        """The request's one final answer. Cancelled, the request is withdrawn and nothing more goes out."""
+        """Return the request's only answer; cancellation withdraws the request."""
         try:
             await open_request.answered.wait()
         except trio.Cancelled:
             answer = open_request.answer
-            if isinstance(answer, Served):  # it came in the moment the client disconnected
+            if isinstance(answer, Served):  # answered at the moment of the disconnection
                 release_result(answer.result, answer.transaction)
             elif isinstance(answer, StatementFailed):
                 release_result(None, answer.transaction)
@@ -233,7 +236,7 @@
         return open_request.answer
 
     def client_disconnected(self, open_request: OpenRequest) -> None:
-        """Withdraw the request, whose answer nobody waits for any more."""
+        """Withdraw the request unless it is answered."""
         if open_request.answer is not None:
             return
         if self.admission.withdraw(open_request.id):
@@ -244,7 +247,7 @@
     def check_admission(
         self, class_index: int, tenant_index: int, group: int, deadline_us: int
     ) -> Rejected | None:
-        """The rejection that a request arriving now would get, before anything is spent on it."""
+        """Return the rejection that a request arriving now would get, None if it would not be rejected."""
         return self.admission.check(class_index, tenant_index, group, deadline_us)
 
     def _on_admitted(self, open_request: OpenRequest) -> None:
@@ -252,10 +255,10 @@
         self.enqueue(open_request)
 
     def _on_decisions(self) -> None:
-        self._wake.set()  # the controller's next deadline may have changed
+        self._wake.set()  # the controller's next timer may have changed
         self.open_requests.notify_if_idle()
 
-    # The loop.
+    # Event loop.
 
     def enqueue(self, event: HostEvent) -> None:
         """Add an event to the next batch, and wake the loop."""
@@ -295,7 +298,7 @@
         self.metrics.stalls.inc()
 
     def on_policy_error(self, events: Sequence[Event], error: Exception) -> None:
-        """Answer every request of the batch as failed."""
+        """Answer every request that the batch refers to as failed."""
         self.metrics.module_errors.inc()
         self.log.error("policy raised on batch", exc_info=error)
         for event in events:
@@ -304,10 +307,10 @@
             if open_request is not None:
                 self.open_requests.answer(open_request, Failed(POLICY_RAISED, open_request.attempt_count))
 
-    # Host events as the router's events.
+    # Translation of host events to router events.
 
     def router_events(self, host_events: list[HostEvent], now: int) -> list[Event]:
-        """Translate host events; facts about epochs and answers are settled here, in their order."""
+        """Translate host events in order, recording epochs and answering requests on the way."""
         disconnected = {event.request for event in host_events if isinstance(event, ClientDisconnected)}
         return [self._router_event(event, disconnected, now) for event in host_events]
 
@@ -339,19 +342,19 @@
             self._list_writer.list_changed()
         return self._translator.endpoint_update(update)
 
-    # The router's actions.
+    # Actions of the router.
 
     def send(self, request: str, endpoint: str, timeout_us: int, now: int) -> None:
-        """Start the request's next attempt; a time-out of 0 lasts until the client gives up."""
+        """Start the request's next attempt; with a `timeout_us` of 0 it ends at the client's deadline."""
         assert self._nursery is not None
         open_request = self.open_requests[request]
         attempt = Attempt(open_request, endpoint, self._required_position(open_request, now), now)
         if open_request.answer is not None:
-            # Rule 1: nothing goes out after the final answer, whatever the router believes of the request.
+            # Rule 1: nothing is sent after the final answer, whatever the router's state of the request.
             self.enqueue(AttemptCompleted(attempt, Outcome.NOT_SENT, now))
             return
-        limit_us = timeout_us or max(open_request.request.deadline_us - now, 0)
-        self._nursery.start_soon(self._run_attempt, attempt, limit_us)
+        effective_timeout_us = timeout_us or max(open_request.request.deadline_us - now, 0)
+        self._nursery.start_soon(self._run_attempt, attempt, effective_timeout_us)
 
     def _required_position(self, open_request: OpenRequest, now: int) -> RequiredPosition:
         request_class = open_request.request_class
@@ -369,14 +372,14 @@
         return self.router.confirm_send(self.clock.now_us(), request, attempt)
 
     def cancel(self, request: str, attempt: int) -> None:
-        """Cancel one attempt of a request."""
+        """Cancel an attempt if it is in flight."""
         open_request = self.open_requests.get(request)
         running = open_request.in_flight.get(attempt) if open_request is not None else None
         if running is not None:
             running.cancel()
 
     def reject(self, request: str, retry_after_us: int, now: int) -> None:
-        """Answer the request as rejected; 0 gives no retry-after hint."""
+        """Answer the request as rejected; with a `retry_after_us` of 0 there is no retry-after hint."""
         open_request = self.open_requests.get(request)
         if open_request is not None:
             self.open_requests.finish(
@@ -390,7 +393,7 @@
             self.open_requests.finish(open_request, Failed(EFFECT_UNKNOWN, open_request.attempt_count))
 
     def start_health_check(self, endpoint: str) -> None:
-        """Ask the endpoint for its load report."""
+        """Start a health check of the endpoint."""
         assert self._nursery is not None
         self._nursery.start_soon(self._run_health_check, endpoint)
 
@@ -398,13 +401,13 @@
         self.enqueue(await self._runner.check_health(endpoint))
 
     def subscribe(self, enabled: bool) -> None:
-        """Open the watch of the endpoint list anew, or end it."""
+        """Open a new watch of the endpoint list, or end it."""
         self.discovery.subscribe(enabled)
 
     def fetch_endpoint_list(self) -> None:
-        """Poll the endpoint list once."""
+        """Request the complete endpoint list once."""
         self.discovery.poll()
 
     def log_message(self, message: str) -> None:
-        """Write a line of the router's to the log."""
+        """Log a message of the router."""
         self.log.info(message)
--- a/juniperreel/proxy/response_check.py
+++ b/juniperreel/proxy/response_check.py
@@ -1,7 +1,7 @@
-"""Checks a response against what its request asked for, and turns it into the client's answer. No I/O.
+"""Checks a response against its request's requirements, and builds the client's answer. Performs no I/O.
 
-Epochs and replication status are facts that the router cannot see in positions alone; here they override an
-outcome that looked like success.
+The router sees positions, but neither epochs nor replication status. The checks here use both, and replace
+the outcome of a successful attempt whose response is stale or belongs to an ended epoch.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckedOutcome:
-    """An attempt's outcome after the checks, with what it says of its endpoint."""
+    """An attempt's outcome after the checks, with its endpoint's role and applied position."""
 
     outcome: Outcome
     role: Role
@@ -29,18 +29,18 @@
 
 
 class ResponseCheck:
-    """Checks the responses of all endpoints against the newest epochs known."""
+    """Checks the responses of all endpoints against the newest known epoch histories."""
 
     def __init__(self, positions: PositionTracker, metrics: Metrics) -> None:
         self._positions = positions
         self._metrics = metrics
 
     def check(self, completed: AttemptCompleted) -> CheckedOutcome:
-        """Record the endpoint's status, and check the response if there is one."""
+        """Record the endpoint's status, and check the response, if any."""
         open_request = completed.attempt.open_request
         response = completed.response
         if response is None:
-            # An endpoint that did not execute a write, as it is no primary.
+            # The endpoint did not execute the write because it is not a primary.
             is_replica = completed.outcome is Outcome.INELIGIBLE and open_request.is_write
             return CheckedOutcome(completed.outcome, Role.REPLICA if is_replica else Role.UNKNOWN, None)
         group = open_request.request.group
@@ -66,10 +66,10 @@
         return Role.PRIMARY if is_primary else Role.REPLICA
 
     def _check_transaction(self, group: int, response: AttemptResponse) -> Outcome:
-        """What a transaction commits is checked at its end.
+        """Check the epoch in which the transaction began; its commit is checked at its end.
 
-        One that was begun at a primary which was deposed meanwhile would read data that no other endpoint
-        has; its first statement was executed, and so it may not be resent freely.
+        A transaction on a deposed primary would read data that no other endpoint has. Its first statement was
+        executed, so the outcome must not be one that is resent freely.
         """
         return Outcome.RESET if self._positions.is_deposed(group, response.status) else Outcome.OK
 
@@ -77,24 +77,24 @@
         epoch = response.status.history.epoch
         if self._positions.holds_commit(group, epoch, response.commit_position):
             return Outcome.OK
-        # A deposed primary confirmed a write that the group will never hold.
+        # A deposed primary confirmed a write that is not part of the group's history.
         self._metrics.cut_off.inc()
         return Outcome.RESET
 
     def _check_read(self, attempt: Attempt, response: AttemptResponse) -> Outcome:
         if attempt.required.is_met_by(response.status):
             return Outcome.OK
-        # The endpoint was truncated or restored from a backup since its position was recorded.
+        # The endpoint's log was truncated, or it was restored from a backup, after its position was recorded.
         self._metrics.stale.inc()
         return Outcome.INELIGIBLE
 
     def answer(self, completed: AttemptCompleted) -> Answer:
-        """The client's answer from an attempt whose checked outcome is OK."""
+        """Build the client's answer from an attempt whose checked outcome is OK."""
         response = completed.response
         error = completed.error
         if response is not None and response.error is not None:
             error = response.error
-        # An OK with an error: the statement is at fault.
+        # Outcome OK together with an error: the error is in the statement.
         if isinstance(error, RpcError):
             return StatementFailed(int(error.code), error.message, error.details)
         if isinstance(error, EndpointError):
@@ -114,7 +114,7 @@
         elif request.transaction_mode is None:
             seen_position = response.commit_position
         else:
-            seen_position = 0  # a transaction that has only begun has seen nothing that others could ask for
+            seen_position = 0  # a transaction that has only begun adds no position to the token
         token = request.token
         if status.history.starts and seen_position:
             token = token.join(Token.for_position(request.group, status.history.epoch, seen_position))
--- a/juniperreel/proxy/router_events.py
+++ b/juniperreel/proxy/router_events.py
@@ -1,7 +1,7 @@
-"""Translates what happened at the edge into the router's events. Does no I/O and decides nothing.
+"""Translates host events of the request driver to router events. Performs no I/O.
 
-Facts that the router cannot see are settled on the way: positions are translated between clocks and epochs,
-responses are checked, and a request is answered by the first response that holds.
+On the way, positions are translated between clocks and epochs, responses are checked, and a request is
+answered by the first response that passes the checks.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class RouterEventTranslator:
-    """Translates the events of one driver; `answer_margin_us` is subtracted from each deadline."""
+    """Translates one driver's events; subtracts `answer_margin_us` from the deadlines of requests."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._response_check = ResponseCheck(positions, metrics)
 
     def request(self, open_request: OpenRequest, now_us: int) -> Request:
-        """The router's view of a request that it sees now for the first time."""
+        """Translate a request on its way to the router."""
         request = open_request.request
         open_request.routed_us = now_us
         request.token = self._positions.with_carried_commits(request.group, request.token)
@@ -67,15 +67,16 @@
         )
 
     def attempt_ended(self, completed: AttemptCompleted, client_disconnected: bool) -> AttemptEnded:
-        """Check the attempt's response, and answer its request if it holds.
+        """Check the attempt's response, and answer its request if the response passes.
 
-        `client_disconnected`: in the same batch, which wins over the response.
+        `client_disconnected` tells that the client disconnected in the same batch, which takes precedence
+        over the response.
         """
         attempt = completed.attempt
         open_request = attempt.open_request
         open_request.in_flight.pop(attempt.number, None)
         checked = self._response_check.check(completed)
-        self._count(completed, checked.outcome)
+        self._record_attempt(completed, checked.outcome)
         is_ok = checked.outcome is Outcome.OK
         if is_ok:
             self._answer(completed, client_disconnected)
@@ -95,7 +96,7 @@
             load_report=None,
         )
 
-    def _count(self, completed: AttemptCompleted, outcome: Outcome) -> None:
+    def _record_attempt(self, completed: AttemptCompleted, outcome: Outcome) -> None:
         attempt = completed.attempt
         self._log.debug(
             "attempt ended",
@@ -118,7 +119,7 @@
             self._requests.answer(open_request, self._response_check.answer(completed))
 
     def health_check_ended(self, completed: HealthCheckCompleted) -> HealthCheckEnded:
-        """Record the endpoint's status, and report it to the router."""
+        """Record the endpoint's status, and translate its report."""
         self._metrics.probes.labels(completed.outcome.value).inc()
         load_report = None
         report = completed.report
@@ -134,7 +135,7 @@
         return HealthCheckEnded(completed.endpoint, completed.outcome, completed.duration_us, load_report)
 
     def endpoint_update(self, update: EndpointListUpdated) -> EndpointUpdate:
-        """The update with start times on the router's clock."""
+        """Translate an update, with start times on the router's clock."""
         skew_us = self._positions.skew_us
         endpoints = tuple(endpoint.router_endpoint(skew_us) for endpoint in update.endpoints)
         return EndpointUpdate(update.kind, endpoints)
