--- a/tests/proxy/builders.py
+++ b/tests/proxy/builders.py
@@ -1,4 +1,4 @@
-"""Builders with defaults for the tests of the request driver and its parts."""
+"""Builders with default values for tests of the request driver."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def listed_endpoint(name: str, **changes: Any) -> ListedEndpoint:
-    """An entry of the endpoint list as the driver keeps it."""
+    """Build an entry of the driver's endpoint list."""
     fields: dict[str, Any] = {
         "address": "127.0.0.1",
         "port": 1,
@@ -55,7 +55,7 @@
 
 
 def list_entry(**changes: Any) -> hosts_pb2.Host:
-    """An entry of the endpoint list as the discovery service sends it."""
+    """Build an entry of the discovery service's endpoint list."""
     fields: dict[str, Any] = {
         "id": "a",
         "address": "127.0.0.1",
--- a/tests/proxy/test_cached_list.py
+++ b/tests/proxy/test_cached_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list on disk: replaced as one, and readable across releases."""
+"""Tests of the cached endpoint list: it is replaced atomically, and readable by later releases."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_configuration_source.py
+++ b/tests/proxy/test_configuration_source.py
@@ -1,4 +1,4 @@
-"""The committed configuration as the source of the endpoint list."""
+"""Tests of the committed configuration as the source of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_endpoint_list.py
+++ b/tests/proxy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list, as the discovery service sends them."""
+"""Tests of the entries of the discovery service's endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_grpc_endpoints.py
+++ b/tests/proxy/test_grpc_endpoints.py
@@ -1,4 +1,4 @@
-"""Attempts on connections to endpoints that speak gRPC."""
+"""Tests of attempts on gRPC connections to endpoints."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 async def test_attempt_on_a_connection_that_does_not_open_ends_unsent_within_the_drain_grace(
     nursery: trio.Nursery,
 ) -> None:
-    """The endpoint accepts and sends nothing: the attempt ends with the connect time-out, unsent.
+    """An endpoint that accepts the connection but sends nothing fails the attempt at the connect time-out.
 
-    The check of the settings keeps that time-out below half the drain grace.
+    Validation of the settings keeps the connect time-out below half the drain grace.
     """
     listener = await TcpNetwork().listen("127.0.0.1", 0)
     options = driver_options()
--- a/tests/proxy/test_outcomes.py
+++ b/tests/proxy/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Only what certainly was not executed may be resent freely."""
+"""Tests that only attempts that were certainly not executed get an outcome that is resent freely."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_positions.py
+++ b/tests/proxy/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions between clocks and epochs: never reported newer than they are."""
+"""Tests of the translation of positions: they are never reported as newer than they are."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @given(st.lists(statuses, min_size=1), statuses)
 def test_applied_position_is_never_reported_newer_than_it_is(
-    seen: list[ReplicationStatus], status: ReplicationStatus
+    earlier_statuses: list[ReplicationStatus], status: ReplicationStatus
 ) -> None:
     positions = PositionTracker(SKEW)
-    for earlier in seen:
+    for earlier in earlier_statuses:
         positions.record_status(0, earlier)
     reported = positions.applied_position(0, status)
     assert reported <= status.position - SKEW
@@ -44,11 +44,11 @@
 
 @given(st.lists(statuses), statuses, tokens, st.integers(0, 1000))
 def test_session_age_never_requires_less_than_the_token(
-    seen: list[ReplicationStatus], status: ReplicationStatus, token: Token, now: int
+    earlier_statuses: list[ReplicationStatus], status: ReplicationStatus, token: Token, now: int
 ) -> None:
-    """The router's comparison, position against now minus age, is at least as strict as the numbers."""
+    """The router's comparison of a position with `now - age` is at least as strict as the token."""
     positions = PositionTracker(SKEW)
-    for earlier in [*seen, status]:
+    for earlier in [*earlier_statuses, status]:
         positions.record_status(0, earlier)
     age = positions.session_age(now, 0, token)
     if age is None:
@@ -100,8 +100,8 @@
 def test_commit_carried_over_a_failover_is_required_at_the_new_epoch_s_start() -> None:
     """A commit's position is rounded up to its endpoint's clock.
 
-    The last commits before a failover may thus lie beyond the next epoch's start, and their sessions' reads
-    would be rejected for ever.
+    The last commits before a failover may therefore be beyond the start of the next epoch, and without the
+    translation the reads of their sessions would always be rejected.
     """
     positions = PositionTracker(SKEW)
     positions.record_status(0, ReplicationStatus(True, 90, History.from_starts([(1, 0)]), 120))
@@ -120,7 +120,7 @@
     assert positions.session_age(1000, 0, translated) == 1000 - 100 + SKEW
     for token in (lost, unknown):
         assert positions.with_carried_commits(0, token) == token, (
-            "what the new epoch does not hold stays required"
+            "a commit that the new epoch does not include is still required"
         )
     assert positions.with_carried_commits(1, carried) == carried
 
@@ -141,11 +141,13 @@
     history = History.from_starts([(1, 0), (2, 100)])
     required = RequiredPosition((EpochPosition(2, 150),))
     assert required.is_met_by(ReplicationStatus(True, 120, history, 160))
-    assert not required.is_met_by(ReplicationStatus(True, 120, history, 140)), "its clock was set back"
+    assert not required.is_met_by(ReplicationStatus(True, 120, history, 140)), (
+        "its clock was set back below the position"
+    )
     assert not required.is_met_by(ReplicationStatus(False, 120, history, 160))
     assert not RequiredPosition((EpochPosition(1, 150),)).is_met_by(
         ReplicationStatus(True, 120, history, 160)
-    ), "an older epoch's is not its own"
+    ), "the clock counts only for commits of its own epoch"
     assert not RequiredPosition(oldest=150).is_met_by(ReplicationStatus(True, 120, history, 160)), (
-        "its heartbeat decides on staleness"
+        "staleness is decided by the heartbeat, not by the clock"
     )
--- a/tests/proxy/test_request_driver.py
+++ b/tests/proxy/test_request_driver.py
@@ -1,4 +1,4 @@
-"""The request driver, batch by batch; the test ends the attempts."""
+"""Tests of the request driver, one batch at a time."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from tests.routing.router_script import CLASS_INDEX, MS, SEC
 
 
-class Bench:
-    """A driver whose attempts go nowhere until the test ends them."""
+class DriverHarness:
+    """A driver that sends no attempts or health checks; the test enqueues their results."""
 
     def __init__(self, nursery: trio.Nursery, **changes: Any) -> None:
         self.clock = Clock(1_000 * SEC)
@@ -99,192 +99,196 @@
 
 
 @pytest.fixture
-async def bench(nursery: trio.Nursery, autojump_clock: trio.testing.MockClock) -> Bench:
-    made = Bench(nursery)
-    await made.list_endpoints("p", "a", "b")
-    return made
+async def harness(nursery: trio.Nursery, autojump_clock: trio.testing.MockClock) -> DriverHarness:
+    harness = DriverHarness(nursery)
+    await harness.list_endpoints("p", "a", "b")
+    return harness
 
 
-async def started(bench: Bench, class_name: str, **fields: Any) -> tuple[list[Answer], Attempt]:
-    answers = bench.submit(class_name, **fields)
+async def start_request(
+    harness: DriverHarness, class_name: str, **fields: Any
+) -> tuple[list[Answer], Attempt]:
+    answers = harness.submit(class_name, **fields)
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
-    return answers, bench.attempts[-1]
+    await harness.process_due()
+    return answers, harness.attempts[-1]
 
 
-async def test_response_answers_its_request_once(bench: Bench) -> None:
-    answers, attempt = await started(bench, "any_read")
-    bench.driver.enqueue(bench.completed(attempt))
-    await bench.process_due()
+async def test_response_answers_its_request_once(harness: DriverHarness) -> None:
+    answers, attempt = await start_request(harness, "any_read")
+    harness.driver.enqueue(harness.completed(attempt))
+    await harness.process_due()
     assert [type(a) for a in answers] == [Served]
-    assert not bench.driver.open_requests
+    assert not harness.driver.open_requests
 
 
-async def test_disconnect_in_the_same_batch_as_the_response_wins(bench: Bench) -> None:
+async def test_disconnect_in_the_same_batch_as_the_response_wins(harness: DriverHarness) -> None:
     scope = trio.CancelScope()
 
     async def disconnecting_client() -> None:
-        request = ClientRequest(CLASS_INDEX["any_read"], -1, 0, bench.clock.now_us() + SEC, b"x")
+        request = ClientRequest(CLASS_INDEX["any_read"], -1, 0, harness.clock.now_us() + SEC, b"x")
         with scope:
-            await bench.driver.execute(request)
+            await harness.driver.execute(request)
 
-    bench.nursery.start_soon(disconnecting_client)
+    harness.nursery.start_soon(disconnecting_client)
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
-    attempt = bench.attempts[-1]
-    bench.driver.enqueue(bench.completed(attempt))
+    await harness.process_due()
+    attempt = harness.attempts[-1]
+    harness.driver.enqueue(harness.completed(attempt))
     scope.cancel()
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
-    assert not bench.driver.open_requests
-    assert bench.metrics.registry.get_sample_value("juniperreel_late_answers_total") == 1
+    await harness.process_due()
+    assert not harness.driver.open_requests
+    assert harness.metrics.registry.get_sample_value("juniperreel_late_answers_total") == 1
 
 
-async def test_response_after_the_rejection_is_dropped_and_counted(bench: Bench) -> None:
-    answers, attempt = await started(bench, "any_read", deadline_us=300 * MS)
-    await trio.sleep(0.4)  # past the deadline: the router's timer rejects it
-    bench.driver.enqueue(bench.completed(attempt, Outcome.TIMEOUT))
-    await bench.process_due()
+async def test_response_after_the_rejection_is_dropped_and_counted(harness: DriverHarness) -> None:
+    answers, attempt = await start_request(harness, "any_read", deadline_us=300 * MS)
+    await trio.sleep(0.4)  # past the deadline: the router's timer rejects the request
+    harness.driver.enqueue(harness.completed(attempt, Outcome.TIMEOUT))
+    await harness.process_due()
     assert [type(a) for a in answers] == [Rejected]
-    bench.driver.enqueue(bench.completed(attempt))
-    await bench.process_due()
+    harness.driver.enqueue(harness.completed(attempt))
+    await harness.process_due()
     assert len(answers) == 1
-    assert bench.metrics.registry.get_sample_value("juniperreel_late_answers_total") == 1
+    assert harness.metrics.registry.get_sample_value("juniperreel_late_answers_total") == 1
 
 
-async def test_request_in_the_same_batch_as_a_drain_notice_avoids_draining_endpoints(bench: Bench) -> None:
+async def test_request_in_the_same_batch_as_a_drain_notice_avoids_draining_endpoints(
+    harness: DriverHarness,
+) -> None:
     endpoints = [listed_endpoint(name, readiness="draining") for name in ("a", "b")]
-    bench.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, endpoints))
-    for _ in range(9):  # some are shed: reads do not crowd a primary that has sent no response yet
-        bench.submit("any_read")
+    harness.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, endpoints))
+    for _ in range(9):  # some are shed: reads do not overload a primary that has not responded yet
+        harness.submit("any_read")
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
-    assert {a.endpoint for a in bench.attempts} == {"p"}
+    await harness.process_due()
+    assert {a.endpoint for a in harness.attempts} == {"p"}
 
 
-async def test_writes_to_a_draining_primary_end_with_the_drain_grace(bench: Bench) -> None:
+async def test_writes_to_a_draining_primary_end_with_the_drain_grace(harness: DriverHarness) -> None:
     primary = listed_endpoint("p", readiness="draining", listed_primary=True)
-    bench.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, [primary]))
-    _, attempt = await started(bench, "write")
+    harness.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, [primary]))
+    _, attempt = await start_request(harness, "write")
     assert attempt.endpoint == "p"
-    bench.driver.enqueue(bench.completed(attempt))
-    await bench.process_due()
+    harness.driver.enqueue(harness.completed(attempt))
+    await harness.process_due()
     await trio.sleep(2.1)
-    count = len(bench.attempts)
-    bench.submit("write")
+    count = len(harness.attempts)
+    harness.submit("write")
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
-    assert all(a.endpoint != "p" for a in bench.attempts[count:])
+    await harness.process_due()
+    assert all(a.endpoint != "p" for a in harness.attempts[count:])
 
 
-async def test_stale_response_is_not_served_and_the_read_is_retried(bench: Bench) -> None:
-    """The endpoint was restored from a backup: its position, once recorded, is too high."""
-    answers, attempt = await started(bench, "bounded_read")
-    old = ReplicationStatus(False, bench.clock.now_us() - 10 * SEC, HISTORY)
-    bench.driver.enqueue(bench.completed(attempt, status=old))
-    await bench.process_due()
+async def test_stale_response_is_not_served_and_the_read_is_retried(harness: DriverHarness) -> None:
+    """An endpoint restored from a backup is behind the position that was recorded for it earlier."""
+    answers, attempt = await start_request(harness, "bounded_read")
+    old = ReplicationStatus(False, harness.clock.now_us() - 10 * SEC, HISTORY)
+    harness.driver.enqueue(harness.completed(attempt, status=old))
+    await harness.process_due()
     assert not answers
-    assert len(bench.attempts) == 2
-    assert bench.metrics.registry.get_sample_value("juniperreel_stale_answers_total") == 1
+    assert len(harness.attempts) == 2
+    assert harness.metrics.registry.get_sample_value("juniperreel_stale_answers_total") == 1
 
 
-async def test_write_confirmed_in_an_ended_epoch_is_retried_only_if_keyed(bench: Bench) -> None:
-    later = History.from_starts([(1, 0), (2, bench.clock.now_us() - SEC)])
+async def test_write_confirmed_in_an_ended_epoch_is_retried_only_if_keyed(harness: DriverHarness) -> None:
+    later = History.from_starts([(1, 0), (2, harness.clock.now_us() - SEC)])
     for class_name, kind in (("write", Served), ("non_idempotent_write", Failed)):
-        answers, attempt = await started(bench, class_name)
-        bench.driver.enqueue(
+        answers, attempt = await start_request(harness, class_name)
+        harness.driver.enqueue(
             HealthCheckCompleted(
                 "a",
                 Outcome.OK,
                 MS,
-                EndpointReport(ReplicationStatus(True, bench.clock.now_us(), later), 0.0, 0.0),
+                EndpointReport(ReplicationStatus(True, harness.clock.now_us(), later), 0.0, 0.0),
             )
         )
-        bench.driver.enqueue(bench.completed(attempt))  # by the deposed one
-        await bench.process_due()
+        harness.driver.enqueue(harness.completed(attempt))  # confirmed by the deposed primary
+        await harness.process_due()
         for _ in range(20):
             if answers:
                 break
             await trio.sleep(0.03)
-            await bench.process_due()
-            if bench.attempts[-1] is not attempt and not answers:
-                status = ReplicationStatus(True, bench.clock.now_us(), later)
-                bench.driver.enqueue(bench.completed(bench.attempts[-1], status=status))
-                await bench.process_due()
+            await harness.process_due()
+            if harness.attempts[-1] is not attempt and not answers:
+                status = ReplicationStatus(True, harness.clock.now_us(), later)
+                harness.driver.enqueue(harness.completed(harness.attempts[-1], status=status))
+                await harness.process_due()
         assert [type(a) for a in answers] == [kind]
 
 
 async def test_request_beyond_the_open_requests_limit_is_rejected_with_retry_after(
     nursery: trio.Nursery,
 ) -> None:
-    bench = Bench(nursery, max_open_requests=1)
-    bench.submit("any_read")
+    harness = DriverHarness(nursery, max_open_requests=1)
+    harness.submit("any_read")
     await trio.testing.wait_all_tasks_blocked()
-    request = ClientRequest(0, -1, 0, bench.clock.now_us() + SEC, b"x")
-    answer = await bench.driver.execute(request)
+    request = ClientRequest(0, -1, 0, harness.clock.now_us() + SEC, b"x")
+    answer = await harness.driver.execute(request)
     assert isinstance(answer, Rejected)
     assert answer.local
     assert 0 < answer.retry_after_us <= ROUTER.max_retry_after_us
     nursery.cancel_scope.cancel()
 
 
-async def test_policy_that_raises_fails_its_batch_and_the_driver_goes_on(bench: Bench) -> None:
-    handle = bench.driver.router.handle
+async def test_policy_that_raises_fails_its_batch_and_the_driver_goes_on(harness: DriverHarness) -> None:
+    handle = harness.driver.router.handle
 
     def broken(_now: int, _events: Any) -> Any:
         raise ZeroDivisionError
 
-    bench.driver.router.handle = broken  # type: ignore[method-assign,assignment]
-    answers = bench.submit("any_read")
+    harness.driver.router.handle = broken  # type: ignore[method-assign,assignment]
+    answers = harness.submit("any_read")
     await trio.testing.wait_all_tasks_blocked()
-    await bench.process_due()
+    await harness.process_due()
     assert [type(a) for a in answers] == [Failed]
-    bench.driver.router.handle = handle  # type: ignore[method-assign]
-    answers, attempt = await started(bench, "any_read")
-    bench.driver.enqueue(bench.completed(attempt))
-    await bench.process_due()
+    harness.driver.router.handle = handle  # type: ignore[method-assign]
+    answers, attempt = await start_request(harness, "any_read")
+    harness.driver.enqueue(harness.completed(attempt))
+    await harness.process_due()
     assert [type(a) for a in answers] == [Served]
 
 
-async def test_response_in_the_same_batch_as_the_deadline_is_the_one_answer(bench: Bench) -> None:
-    answers, attempt = await started(bench, "any_read", deadline_us=300 * MS)
-    await trio.sleep(0.4)  # the router's timer is long overdue
-    bench.driver.enqueue(bench.completed(attempt))
-    await bench.process_due()
-    await bench.process_due()
+async def test_response_in_the_same_batch_as_the_deadline_is_the_one_answer(harness: DriverHarness) -> None:
+    answers, attempt = await start_request(harness, "any_read", deadline_us=300 * MS)
+    await trio.sleep(0.4)  # past the deadline: the router's timer is overdue
+    harness.driver.enqueue(harness.completed(attempt))
+    await harness.process_due()
+    await harness.process_due()
     assert [type(a) for a in answers] == [Served]
-    assert not bench.driver.open_requests
+    assert not harness.driver.open_requests
 
 
-async def test_stalled_driver_blames_no_endpoint_for_the_timeout(bench: Bench) -> None:
-    _, attempt = await started(bench, "any_read")
+async def test_stalled_driver_blames_no_endpoint_for_the_timeout(harness: DriverHarness) -> None:
+    _, attempt = await start_request(harness, "any_read")
     await trio.sleep(0.5)
-    bench.driver.enqueue(bench.completed(attempt, Outcome.TIMEOUT))
-    await bench.process_due()
-    state = bench.driver.router.state.endpoints[attempt.endpoint]
+    harness.driver.enqueue(harness.completed(attempt, Outcome.TIMEOUT))
+    await harness.process_due()
+    state = harness.driver.router.state.endpoints[attempt.endpoint]
     assert not state.ejected and state.consecutive_losses == 0
-    assert bench.metrics.registry.get_sample_value("juniperreel_stalls_total") == 1
+    assert harness.metrics.registry.get_sample_value("juniperreel_stalls_total") == 1
 
 
 async def test_restarted_edge_with_the_same_seed_uses_new_request_ids(
     nursery: trio.Nursery, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Two requests of one id would look like two attempts of one request to the checker of rule 2."""
-    before = Bench(nursery)
+    """The checker of rule 2 would take two requests with the same id for two attempts at one request."""
+    before = DriverHarness(nursery)
     await trio.sleep(2)
-    after = Bench(nursery)
+    after = DriverHarness(nursery)
     assert before.driver.options.seed == after.driver.options.seed
     ids = []
-    for bench in (before, after):
-        request = ClientRequest(0, -1, 0, bench.clock.now_us() + SEC, b"x")
-        bench.driver.submit(request)
+    for harness in (before, after):
+        request = ClientRequest(0, -1, 0, harness.clock.now_us() + SEC, b"x")
+        harness.driver.submit(request)
         ids.append(request.id)
     assert ids[0] != ids[1]
     assert ids[0].rsplit("-", 2)[0] == ids[1].rsplit("-", 2)[0]
 
 
 class SlowChannel:
-    """A channel whose connection comes up when the test says so, and that notes what is called on it."""
+    """A channel that connects when the test sets `connected`, and counts the calls made on it."""
 
     def __init__(self) -> None:
         self.connected = trio.Event()
@@ -301,24 +305,27 @@
 
 @pytest.mark.parametrize("drains", [False, True])
 async def test_attempt_whose_connection_comes_up_late_is_sent_only_where_it_still_fits(
-    bench: Bench, drains: bool
+    harness: DriverHarness, drains: bool
 ) -> None:
-    """Its endpoint was told to drain meanwhile; a key may be forgotten, or a position too old, alike."""
-    _, attempt = await started(bench, "any_read")
+    """While the attempt waits for its connection, the endpoint starts draining.
+
+    The same check covers an idempotency key that has expired and a position that has become too old.
+    """
+    _, attempt = await start_request(harness, "any_read")
     channel = SlowChannel()
     address = EndpointAddress("127.0.0.1", 1)
-    bench.driver.endpoints._channels[attempt.endpoint] = EndpointChannel(address, channel)  # type: ignore[attr-defined,arg-type]
+    harness.driver.endpoints._channels[attempt.endpoint] = EndpointChannel(address, channel)  # type: ignore[attr-defined,arg-type]
     done: list[AttemptCompleted] = []
 
     async def run() -> None:
-        done.append(await bench.driver._runner.run(attempt, SEC))
+        done.append(await harness.driver._runner.run(attempt, SEC))
 
-    bench.nursery.start_soon(run)
+    harness.nursery.start_soon(run)
     await trio.testing.wait_all_tasks_blocked()
     if drains:
         endpoint = listed_endpoint(attempt.endpoint, readiness="draining")
-        bench.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, [endpoint]))
-        await bench.process_due()
+        harness.driver.enqueue(EndpointListUpdated(UpdateKind.DELTA, [endpoint]))
+        await harness.process_due()
     channel.connected.set()
     await trio.testing.wait_all_tasks_blocked()
     assert channel.calls == (0 if drains else 1)
