--- a/benchmarks/pool_soak.py
+++ b/benchmarks/pool_soak.py
@@ -310,7 +310,7 @@
                 f"{summarize(tally, duration_s)}; {count.executed} executions of {count.texts} texts "
                 "checked, "
                 f"{sessions} sessions over at most {ENDPOINTS * connections} connections, "
-                f"{links.opened} opened, {links.replayed} replays"
+                f"{links.connections_opened} opened, {links.statements_replayed} replays"
             )
         nursery.cancel_scope.cancel()
     return SoakResult(violations, summary)
--- a/juniperreel/proxy/mysql_endpoints.py
+++ b/juniperreel/proxy/mysql_endpoints.py
@@ -123,7 +123,7 @@
         self._endpoints: dict[str, MysqlEndpoint] = {}
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
-        self.replayed = 0  # statements executed to bring connections to a session's state
+        self.statements_replayed = 0  # statements executed to bring connections to a session's state
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run the connections' tasks, and process the pools' deadlines, until cancelled."""
@@ -193,14 +193,14 @@
         return sum(endpoint.connection_count for endpoint in self._endpoints.values())
 
     @property
-    def opened(self) -> int:
+    def connections_opened(self) -> int:
         """The number of connections opened since the start."""
-        return self._connector.opened
+        return self._connector.connections_opened
 
     @property
-    def killed(self) -> int:
+    def statements_killed(self) -> int:
         """The number of abandoned statements killed at the current endpoints."""
-        return sum(endpoint.monitor.killed for endpoint in self._endpoints.values())
+        return sum(endpoint.monitor.statements_killed for endpoint in self._endpoints.values())
 
     def open_transactions(self) -> list[EndpointTransaction]:
         """Return the open transactions on all endpoints."""
@@ -284,7 +284,7 @@
         for text in statements:
             if text is None:
                 continue
-            self.replayed += 1
+            self.statements_replayed += 1
             self._metrics.replays.inc()
             (reply,) = await backend.exchange([Statement(text)])
             if isinstance(reply, Err):
--- a/juniperreel/proxy/mysql_monitor.py
+++ b/juniperreel/proxy/mysql_monitor.py
@@ -41,7 +41,7 @@
         self._backend: BackendConnection | None = None
         self._lock = trio.Lock()  # serialises exchanges on the connection
         self._pending_kills = 0
-        self.killed = 0
+        self.statements_killed = 0
 
     @property
     def is_connected(self) -> bool:
@@ -83,7 +83,7 @@
                 async with self._lock:
                     if not backend.close_reason:
                         await backend.exchange([Statement(f"kill {thread_id}".encode())])
-                        self.killed += 1
+                        self.statements_killed += 1
                         self._metrics.kills.inc()
         except (ConnectionLostError, ResultTooLargeError):
             pass  # the monitoring connection was lost; the statement may have ended with the server
--- a/juniperreel/proxy/mysql_pool.py
+++ b/juniperreel/proxy/mysql_pool.py
@@ -38,20 +38,20 @@
 
 
 class BackendConnector:
-    """Opens connections to endpoints, and counts them in `opened`."""
+    """Opens connections to endpoints, and counts them in `connections_opened`."""
 
     def __init__(self, network: Network, login: BackendConfig, timeout_us: int) -> None:
         self._network = network
         self._login = login
         self._timeout_us = timeout_us
-        self.opened = 0
+        self.connections_opened = 0
 
     async def connect(self, address: EndpointAddress) -> BackendConnection:
         """Connect and log in. Raises ConnectError."""
         backend = await BackendConnection.open(
             self._network, address.host, address.port, self._login, self._timeout_us
         )
-        self.opened += 1
+        self.connections_opened += 1
         return backend
 
 
--- a/tests/e2e/test_mysql_hard.py
+++ b/tests/e2e/test_mysql_hard.py
@@ -246,10 +246,10 @@
     def work(connection: Any) -> list[int]:
         codes = []
         for text in ("call p(1)", "selekt 1", "select my_function(1)", "show master status"):
-            before = links.opened
+            before = links.connections_opened
             codes.append(code_of(connection, text))
             ask(connection, INSERT % ("own", "a"))
-            assert links.opened > before, "the one it had is gone"
+            assert links.connections_opened > before, "the one it had is gone"
         connection.begin()
         ask(connection, INSERT % ("own", "b"))
         codes.append(code_of(connection, "select my_function(1)"))
--- a/tests/e2e/test_transactions.py
+++ b/tests/e2e/test_transactions.py
@@ -219,7 +219,7 @@
     normal = "ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES"
     mine, theirs = (5, "ANSI_QUOTES", "SYSTEM"), (None, normal, "+01:00")
     assert await using(world, work) == [*[mine, theirs] * 5, (None, normal, "SYSTEM"), 1231, True]
-    assert links(world).replayed
+    assert links(world).statements_replayed
 
 
 async def test_last_insert_ids_are_a_session_s_own_wherever_it_runs(world: World) -> None:
@@ -684,7 +684,7 @@
     for member in world.fleet.endpoints.values():
         member.settings = replace(member.settings, read_us=60_000_000)
     await alone()
-    await until(lambda: links(world).killed == 1)
+    await until(lambda: links(world).statements_killed == 1)
     await until(lambda: not any(m.capacity.in_flight for m in world.fleet.endpoints.values()))
 
 
