--- a/juniperreel/proxy/configuration_source.py
+++ b/juniperreel/proxy/configuration_source.py
@@ -18,7 +18,7 @@
 from juniperreel.routing.types import UpdateKind
 
 
-def endpoints_of(configuration: Configuration, groups: int) -> list[ListedEndpoint]:
+def endpoints_from_configuration(configuration: Configuration, groups: int) -> list[ListedEndpoint]:
     """Convert the members to an endpoint list; a group's primary is that of its newest epoch."""
     endpoints = []
     for name in sorted(configuration.members):
@@ -82,7 +82,7 @@
             self._log("stale configuration ignored", version=configuration.version, newest=self.version)
             return
         self.version = configuration.version
-        endpoints = endpoints_of(configuration, self._options.groups)
+        endpoints = endpoints_from_configuration(configuration, self._options.groups)
         if not endpoints:
             return  # not set up yet; ignored, like an empty endpoint list
         self.endpoints = {endpoint.id: endpoint for endpoint in endpoints}
--- a/tests/raft/test_cluster.py
+++ b/tests/raft/test_cluster.py
@@ -15,7 +15,7 @@
 from juniperreel.proto.configuration.v1 import configuration_pb2 as pb
 from juniperreel.proto.raft.v1 import raft_pb2
 from juniperreel.proxy import DriverOptions
-from juniperreel.proxy.configuration_source import ConfigurationSource, endpoints_of
+from juniperreel.proxy.configuration_source import ConfigurationSource, endpoints_from_configuration
 from juniperreel.raft import wire
 from juniperreel.raft.configuration import model
 from juniperreel.raft.configuration.commands import SetGroup, SetLimit, encode_command
@@ -355,7 +355,7 @@
     hosts = {h.id: h for h in updates[-1][1]}
     assert hosts["m1"].listed_primary
     assert not hosts["m0"].listed_primary
-    assert endpoints_of(await three.client.get(), 0) == []
+    assert endpoints_from_configuration(await three.client.get(), 0) == []
 
 
 def options_for(cluster: Cluster) -> DriverOptions:
