--- a/juniperreel/proxy/gauges.py
+++ b/juniperreel/proxy/gauges.py
@@ -34,7 +34,7 @@
 
 
 class GaugeReporter:
-    """Reports one driver's gauges; a drift of the wall clock beyond `skew_us` is logged."""
+    """Reports one driver's gauges; `skew_us` is the wall clock drift that positions allow for."""
 
     def __init__(self, sources: GaugeSources, metrics: Metrics, clock: Clock, skew_us: int, log: Any) -> None:
         self._sources = sources
--- a/juniperreel/proxy/mysql_endpoints.py
+++ b/juniperreel/proxy/mysql_endpoints.py
@@ -348,7 +348,7 @@
             raise error_from_packet(load)
         try:
             status = replication_status(heartbeat)
-            if isinstance(gtids, Result):  # a server without GTIDs replies with an error
+            if isinstance(gtids, Result):  # an error reply means that the server has no GTIDs
                 ((executed,),) = gtids.values()
                 group = self._group_of(endpoint)
                 self._positions.record_status(group, status)
--- a/juniperreel/proxy/mysql_exchange.py
+++ b/juniperreel/proxy/mysql_exchange.py
@@ -144,7 +144,7 @@
         group = self._group_of(self._endpoint)
         self._positions.record_status(group, status)
         if heartbeat.read_only or self._positions.is_deposed(group, status):
-            raise EndpointError(Outcome.INELIGIBLE, f"{self._endpoint} is no primary")
+            raise EndpointError(Outcome.INELIGIBLE, f"{self._endpoint} is not a primary")
         if isinstance(begun, Err):
             raise error_from_packet(begun)
         stream = self._attempt.request.accepts_stream
@@ -171,7 +171,7 @@
             if reply.code in TRANSACTION_ROLLBACK_CODES:
                 raise error
         if not self._backend.session.in_transaction:
-            raise EndpointError(Outcome.ERROR, f"{self._endpoint} began no transaction")
+            raise EndpointError(Outcome.ERROR, f"{self._endpoint} did not begin a transaction")
         transaction = self._begin_transaction()
         result = None if isinstance(reply, Err) else reply
         return AttemptResponse(result, status, transaction=transaction, error=error)
--- a/juniperreel/proxy/options.py
+++ b/juniperreel/proxy/options.py
@@ -39,6 +39,4 @@
     limits: Limits
     writes_cached_list: bool = True  # only one of the drivers that share the file writes it
     mysql: MysqlEndpointOptions | None = None  # None for gRPC endpoints
-    configuration_addresses: tuple[
-        tuple[str, int], ...
-    ] = ()  # Raft instances; used instead of discovery if set
+    configuration_addresses: tuple[tuple[str, int], ...] = ()  # Raft instances; replace discovery if set
--- a/juniperreel/proxy/positions.py
+++ b/juniperreel/proxy/positions.py
@@ -85,7 +85,7 @@
             return False
         if status.position >= commit.position:
             return True
-        # A primary holds what its own epoch committed, wherever its heartbeat stands.
+        # A primary has applied everything that its own epoch committed, whatever its heartbeat reports.
         is_own_epoch = status.is_primary is True and commit.epoch == history.epoch
         return is_own_epoch and status.clock_us >= commit.position
 
--- a/juniperreel/proxy/request_driver.py
+++ b/juniperreel/proxy/request_driver.py
@@ -202,7 +202,10 @@
     # Requests from front ends.
 
     async def execute(self, request: ClientRequest) -> Answer:
-        """Submit a request and return its only answer; cancellation withdraws the request."""
+        """Submit a request and return its only answer.
+
+        Cancellation withdraws the request, after which nothing more is sent for it.
+        """
         submitted = self.submit(request)
         if isinstance(submitted, Rejected):
             return submitted
@@ -221,12 +224,15 @@
         return open_request
 
     async def wait_for_answer(self, open_request: OpenRequest) -> Answer:
-        """Return the request's only answer; cancellation withdraws the request."""
+        """Return the request's only answer.
+
+        Cancellation withdraws the request, after which nothing more is sent for it.
+        """
         try:
             await open_request.answered.wait()
         except trio.Cancelled:
             answer = open_request.answer
-            if isinstance(answer, Served):  # answered at the moment of the disconnection
+            if isinstance(answer, Served):  # answered as the client disconnected
                 release_result(answer.result, answer.transaction)
             elif isinstance(answer, StatementFailed):
                 release_result(None, answer.transaction)
--- a/juniperreel/proxy/transactions.py
+++ b/juniperreel/proxy/transactions.py
@@ -2,7 +2,7 @@
 
 The router chose the endpoint when it routed the first statement as a request; all later statements use the
 same connection. No statement is ever resent: if the connection is lost, the endpoint rolls the transaction
-back, and the client is told so. The effect is unknown only if the connection is lost during the commit.
+back, and the client gets an error. The effect is unknown only if the connection is lost during the commit.
 """
 
 from __future__ import annotations
