--- a/juniperreel/platform_settings.py
+++ b/juniperreel/platform_settings.py
@@ -26,9 +26,11 @@
     "once": Idempotency.NON_IDEMPOTENT,
 }
 KEY_SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.GROUP}
-ROUNDING = 1e-6  # of a microsecond: a bound that is a whole one as a decimal is not rounded to the one below
+ROUNDING_TOLERANCE_US = (
+    1e-6  # of a microsecond: a bound that is a whole one as a decimal is not rounded to the one below
+)
 
-RawObject = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,18 +41,18 @@
     position_zero_us: int
 
 
-def read_settings(raw: RawObject) -> PlatformSettings:
+def read_settings(raw: JsonObject) -> PlatformSettings:
     """Translate the settings object.
 
     Raises KeyError, ValueError or TypeError for an object that is not the settings.
     """
     limits = raw["ceilings"]
     rules = raw["rules"]
-    special = raw["specifics"]
+    specifics = raw["specifics"]
     router = Settings(
         router_count=int(raw["balancers"]),
         zone=int(raw["zone"]),
-        classes=_read_classes(raw["services"], special),
+        classes=_read_classes(raw["services"], specifics),
         tenants=tuple(_read_tenant(tenant) for tenant in raw.get("tenants", [])),
         over_quota_weight=float(raw.get("over_share_worth", 1.0)),
         prices=_read_prices(raw.get("prices", {})),
@@ -69,37 +71,37 @@
         overload_window_us=_microseconds(rules["overload_for_s"]),
         must_poll=raw["membership_mode"] == "ask",
         poll_interval_us=_microseconds(rules.get("ask_every_s", 0.0)),
-        staleness_guard=StalenessGuard(special["guards"]),
-        staleness_wait_us=_microseconds(special.get("wait_s", 0.0)),
-        requests_carry_session_age=special["token_mode"] == "carried",
-        responses_carry_position=bool(special["positions"]),
-        list_names_primary=special["shows_role"] != "off",
+        staleness_guard=StalenessGuard(specifics["guards"]),
+        staleness_wait_us=_microseconds(specifics.get("wait_s", 0.0)),
+        requests_carry_session_age=specifics["token_mode"] == "carried",
+        responses_carry_position=bool(specifics["positions"]),
+        list_names_primary=specifics["shows_role"] != "off",
     )
-    return PlatformSettings(router, _microseconds(special["position_zero_s"]))
+    return PlatformSettings(router, _microseconds(specifics["position_zero_s"]))
 
 
 def _microseconds(seconds: float) -> int:
     return round(seconds * 1_000_000)
 
 
-def _read_classes(services: list[RawObject], special: RawObject) -> tuple[RequestClass, ...]:
+def _read_classes(services: list[JsonObject], specifics: JsonObject) -> tuple[RequestClass, ...]:
     """The request classes; what concerns freshness stands in lists of its own, by class."""
-    consistencies = special["consistency"]
-    staleness = special["lag_allowed_s"]
+    consistencies = specifics["consistency"]
+    staleness = specifics["lag_allowed_s"]
     return tuple(
         _read_class(service, Consistency(consistencies[i]), staleness[i])
         for i, service in enumerate(services)
     )
 
 
-def _read_class(service: RawObject, consistency: Consistency, max_staleness_s: float) -> RequestClass:
+def _read_class(service: JsonObject, consistency: Consistency, max_staleness_s: float) -> RequestClass:
     return RequestClass(
         name=str(service["name"]),
         idempotency=IDEMPOTENCY[service["effect"]],
         key_scope=KEY_SCOPES[service.get("key_scope", "all")],
         deduplication_window_us=_microseconds(service.get("memory_span_s", 0.0)),
         consistency=consistency,
-        max_staleness_us=math.floor(max_staleness_s * 1_000_000 + ROUNDING),
+        max_staleness_us=math.floor(max_staleness_s * 1_000_000 + ROUNDING_TOLERANCE_US),
         latency_objective_us=_microseconds(service["objective_s"]),
         deadline_us=_microseconds(service["deadline_s"]),
         priority_weight=float(service["worth"]),
@@ -109,11 +111,11 @@
     )
 
 
-def _read_tenant(tenant: RawObject) -> Tenant:
+def _read_tenant(tenant: JsonObject) -> Tenant:
     return Tenant(str(tenant["name"]), float(tenant["fraction"]), float(tenant["quota_rps"]))
 
 
-def _read_prices(prices: RawObject) -> Prices:
+def _read_prices(prices: JsonObject) -> Prices:
     return Prices(
         cross_zone=float(prices.get("cross_zone", 0.0)),
         waste=float(prices.get("waste", 0.0)),
--- a/juniperreel/routing/parts.py
+++ b/juniperreel/routing/composition.py
@@ -15,12 +15,12 @@
 from juniperreel.routing.policy.slow_start import SlowStart
 from juniperreel.routing.pressure import PressureTable
 from juniperreel.routing.sessions import SessionTable
-from juniperreel.routing.state import Estimators, RouterState
+from juniperreel.routing.state import EstimatorFactory, RouterState
 from juniperreel.routing.types import Settings
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyParts:
+class Policy:
     """What selection, position checks and dispatch, which bring the parts together, decide with."""
 
     state: RouterState
@@ -33,14 +33,14 @@
     primaries: PrimaryTracker
 
 
-def compose(settings: Settings, seed: int) -> PolicyParts:
+def build_policy(settings: Settings, seed: int) -> Policy:
     """Make the parts of a router that starts; the primary tracker takes its first random draw here."""
-    state = new_state(settings, seed)
+    state = build_state(settings, seed)
     endpoints = EndpointTracker(state)
     retries = RetryPolicy(state)
     outliers = OutlierDetector(state, endpoints, retries)
     pressure = PressureTable(state, parameters.PRESSURE_MIN_WEIGHT, parameters.PRESSURE_SAMPLES)
-    return PolicyParts(
+    return Policy(
         state=state,
         endpoints=endpoints,
         freshness=Freshness(state),
@@ -52,7 +52,7 @@
     )
 
 
-def new_state(settings: Settings, seed: int) -> RouterState:
+def build_state(settings: Settings, seed: int) -> RouterState:
     """A router's tables, their estimators made with the policy's parameters."""
     gain = 1 - parameters.RESPONSE_TIME_SMOOTHING
     objectives = [request_class.latency_objective_us for request_class in settings.classes]
@@ -63,7 +63,7 @@
         mean_load=MovingAverage(0.0, 1 - parameters.REPORT_SMOOTHING),
         sessions=SessionTable(parameters.MAX_SESSIONS, parameters.SESSION_TTL_US),
         log_interval_us=parameters.LOG_INTERVAL_US,
-        estimators=Estimators(_new_pressure, _new_success_rate, _new_backoff),
+        estimator_factory=EstimatorFactory(_new_pressure, _new_success_rate, _new_backoff),
     )
 
 
--- a/juniperreel/routing/endpoint_state.py
+++ b/juniperreel/routing/endpoint_state.py
@@ -11,8 +11,8 @@
 from juniperreel.routing.estimators import Backoff, DecayingMean, SuccessRate, TokenBucket
 from juniperreel.routing.types import Endpoint, Readiness, Role
 
-IDLE_US = 1 << 60  # long after any clock reading
-NEVER = -IDLE_US  # long before any
+DISTANT_FUTURE_US = 1 << 60  # long after any clock reading
+DISTANT_PAST_US = -DISTANT_FUTURE_US  # long before any
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,26 +40,26 @@
         self.info = info
         self.readiness_changed_us = now_us  # when its readiness was learned
         self.was_draining = info.readiness is Readiness.DRAINING
-        self.warming_since_us = info.started_us or NEVER
+        self.warming_since_us = info.started_us or DISTANT_PAST_US
         self.srtt_us = srtt_us  # smoothed response time
         self.has_responded = False  # whether `srtt_us` is measured
         self.consecutive_losses = 0
-        self.last_response_us = NEVER
+        self.last_response_us = DISTANT_PAST_US
         self.success_rate = success_rate
         self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}  # by request and attempt
         self.ejected = False
         self.down_since_us = 0  # 0: not known to be down
         self.backoff = backoff
         self.retry_at_us = 0  # ejected: no attempt before
-        self.position_us = NEVER  # the highest applied position known
+        self.position_us = DISTANT_PAST_US  # the highest applied position known
         self.role = Role.UNKNOWN
-        self.role_observed_us = NEVER  # in a response
+        self.role_observed_us = DISTANT_PAST_US  # in a response
         self.pressure = pressure
         self.reported_load = 0.0  # as it reports itself, by unit of capacity
-        self.load_reported_us = NEVER
+        self.load_reported_us = DISTANT_PAST_US
         self.slow_start = TokenBucket(slow_start_tokens, now_us)
-        self.checked_us = NEVER  # its last health check began
-        self.passed_check_us = NEVER
+        self.checked_us = DISTANT_PAST_US  # its last health check began
+        self.passed_check_us = DISTANT_PAST_US
 
     def update(self, info: Endpoint, now_us: int) -> bool:
         """Take over a later entry of the list. True where the endpoint's process has restarted."""
@@ -78,7 +78,7 @@
             self.warming_since_us += shift_us
         self.info = replace(self.info, started_us=self.info.started_us + shift_us)
 
-    def warm_up_from(self, now_us: int) -> None:
+    def restart_slow_start(self, now_us: int) -> None:
         """Its process has started anew, though no list says so yet."""
         self.warming_since_us = max(self.warming_since_us, now_us)
         self.slow_start.refilled_us = now_us
--- a/juniperreel/routing/estimators.py
+++ b/juniperreel/routing/estimators.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 SECOND_US = 1_000_000
-SMALLEST_AVERAGE = 1e-12  # keeps ratios finite
+MIN_AVERAGE = 1e-12  # keeps ratios finite
 
 
 def linear_decay(elapsed_us: int, span_us: int) -> float:
@@ -48,7 +48,7 @@
 
     def ratio(self, sample: float) -> float:
         """A sample as a multiple of the average, which must not be negative."""
-        return sample / max(self.value, SMALLEST_AVERAGE)
+        return sample / max(self.value, MIN_AVERAGE)
 
 
 class ResponseTimes:
@@ -123,7 +123,7 @@
         self.per_second = max(self.per_second * linear_decay(elapsed_us, self._fade_us), rate)
 
 
-class Refreshed:
+class CachedValue:
     """A value that is computed anew when it is asked for, at most once in `interval_us`."""
 
     def __init__(self, interval_us: int, compute: Callable[[], float]) -> None:
@@ -204,15 +204,15 @@
 class Budget:
     """Tokens earned by a steady flow of events and spent by rarer ones."""
 
-    def __init__(self, earned: float, limit: float) -> None:
+    def __init__(self, earned_per_event: float, limit: float) -> None:
         """Start with `limit` tokens, and earn `earned` an event up to it."""
-        self._earned = earned
+        self._earned_per_event = earned_per_event
         self._limit = limit
         self.balance = limit
 
     def earn(self) -> None:
         """Count one event of the steady flow."""
-        self.balance = min(self._limit, self.balance + self._earned)
+        self.balance = min(self._limit, self.balance + self._earned_per_event)
 
     def spend(self, minimum: float = 0.0) -> None:
         """Take one token; the balance does not fall below `minimum`."""
@@ -222,10 +222,10 @@
 class DecayingShares:
     """How many of the last events each of a few sources had: all counts fade at each event."""
 
-    def __init__(self, sources: int, smoothing: float) -> None:
+    def __init__(self, source_count: int, smoothing: float) -> None:
         """Start at 0; `smoothing` is what is left of a count at each event."""
         self._smoothing = smoothing
-        self.counts = [0.0] * sources
+        self.counts = [0.0] * source_count
 
     def increment(self, source: int) -> None:
         """Count one event of a source; an unknown one counts for nothing."""
--- a/juniperreel/routing/loop.py
+++ b/juniperreel/routing/loop.py
@@ -65,11 +65,11 @@
         host_events = self.queue
         self.queue = []
         events = self.router_events(host_events, now)
-        events.extend(self._due_timers(now))
+        events.extend(self._pop_due_timers(now))
         if not events:
             return False
         for action in self._handle(events, now):
-            self._carry_out(action, now)
+            self._execute(action, now)
         return True
 
     def _handle(self, events: list[Event], now: int) -> list[Action]:
@@ -91,7 +91,7 @@
                 if not events:
                     return actions
 
-    def _due_timers(self, now: int) -> list[TimerFired]:
+    def _pop_due_timers(self, now: int) -> list[TimerFired]:
         fired: list[TimerFired] = []
         while self._timers and self._timers[0][0] <= now:
             due, key = heapq.heappop(self._timers)
@@ -100,7 +100,7 @@
             fired.append(TimerFired(key))
         return fired
 
-    def _carry_out(self, action: Action, now: int) -> None:
+    def _execute(self, action: Action, now: int) -> None:
         match action:
             case Send(request, endpoint, timeout_us):
                 self.send(request, endpoint, timeout_us, now)
--- a/juniperreel/routing/policy/endpoint_list.py
+++ b/juniperreel/routing/policy/endpoint_list.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from juniperreel.routing.endpoint_state import IDLE_US, EndpointState
+from juniperreel.routing.endpoint_state import DISTANT_FUTURE_US, EndpointState
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.state import GroupState, RouterState
 from juniperreel.routing.types import Endpoint, EndpointUpdate, Readiness, Subscribe, UpdateKind
@@ -13,8 +13,8 @@
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
-        self.next_poll_us = IDLE_US
-        self._list_is_late = False  # a call failed since the last list
+        self.next_poll_us = DISTANT_FUTURE_US
+        self._updates_missed = False  # a call failed since the last list
 
     def may_receive(self, endpoint: EndpointState, group: GroupState) -> bool:
         """Rule 3: nothing new for draining or removed endpoints."""
@@ -29,7 +29,7 @@
     def poll_if_due(self) -> None:
         """Ask for the list where no watch brings it."""
         if self.state.now_us >= self.next_poll_us:
-            self.next_poll_us = IDLE_US
+            self.next_poll_us = DISTANT_FUTURE_US
             self.state.emit(Subscribe(True))
 
     def on_update(self, update: EndpointUpdate) -> None:
@@ -37,7 +37,7 @@
         state = self.state
         jitter_us = int(state.random.uniform(0, parameters.POLL_JITTER_US * state.settings.router_count))
         if update.kind in (UpdateKind.TIMED_OUT, UpdateKind.FAILED):
-            self._list_is_late = True
+            self._updates_missed = True
         if update.kind is UpdateKind.TIMED_OUT:
             # What a silent watch misses counts as notified seconds after it fell silent, and much of that has
             # passed: it is opened anew at once. Nobody rejected it; those that began apart fall due apart.
@@ -53,7 +53,7 @@
         if update.kind is not UpdateKind.DELTA:
             for endpoint in state.unlisted_endpoints(update.endpoints):
                 self.update_endpoint(replace(endpoint.info, readiness=Readiness.REMOVED))
-        self._list_is_late = False
+        self._updates_missed = False
         if not state.settings.removed_endpoints_serve:
             # Those that are replaced all day would be remembered for good.
             state.forget_removed_endpoints(parameters.REMOVED_ENDPOINT_TTL_US)
@@ -79,7 +79,7 @@
             endpoint = state.add_endpoint(info, self._initial_srtt_us(), state.random.random())
         elif endpoint.update(info, state.now_us):
             endpoint.restart(state.now_us, self._initial_srtt_us(), state.random.random())
-        if self._list_is_late and info.readiness is Readiness.DRAINING and not was_draining:
+        if self._updates_missed and info.readiness is Readiness.DRAINING and not was_draining:
             endpoint.readiness_changed_us = state.now_us - state.settings.drain_grace_us  # at the latest
         if info.listed_primary and state.settings.list_names_primary:
             state.group(info.group).listed_primary = endpoint
--- a/juniperreel/routing/policy/freshness.py
+++ b/juniperreel/routing/policy/freshness.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from juniperreel.routing.endpoint_state import NEVER, EndpointState
+from juniperreel.routing.endpoint_state import DISTANT_PAST_US, EndpointState
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.state import RequestState, RouterState
 from juniperreel.routing.types import Consistency
@@ -29,7 +29,7 @@
         settings = self.state.settings
         if settings.requests_carry_session_age:
             age_us = request.request.session_age_us
-            request.required_position_us = NEVER if age_us is None else request.received_us - age_us
+            request.required_position_us = DISTANT_PAST_US if age_us is None else request.received_us - age_us
             return
         known_us = self.state.session_commit_us(request)
         request.required_position_us = max(request.required_position_us, known_us)
--- a/juniperreel/routing/policy/outlier.py
+++ b/juniperreel/routing/policy/outlier.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from juniperreel.routing.endpoint_state import NEVER, EndpointState
+from juniperreel.routing.endpoint_state import DISTANT_PAST_US, EndpointState
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.policy.endpoint_list import EndpointTracker
 from juniperreel.routing.policy.retry import RetryPolicy
@@ -46,7 +46,7 @@
             refused = event.duration_us < parameters.CONNECTION_REFUSED_US
             if refused and event.outcome is Outcome.UNREACHABLE:
                 endpoint.down_since_us = endpoint.down_since_us or now_us
-            endpoint.passed_check_us = NEVER
+            endpoint.passed_check_us = DISTANT_PAST_US
             endpoint.eject(now_us)
 
     def on_outcome(self, endpoint: EndpointState, request: RequestState, event: AttemptEnded) -> None:
@@ -93,7 +93,7 @@
         """End the ejection, of an endpoint that has responded."""
         now_us = self.state.now_us
         if endpoint.down_since_us and now_us - endpoint.down_since_us > parameters.RESTART_AFTER_US:
-            endpoint.warm_up_from(now_us)  # before a list says so, or it would be overloaded
+            endpoint.restart_slow_start(now_us)  # before a list says so, or it would be overloaded
         endpoint.clear_ejection()
 
     def _majority_is_healthy(self, endpoint: EndpointState) -> bool:
--- a/juniperreel/routing/policy/position_checks.py
+++ b/juniperreel/routing/policy/position_checks.py
@@ -1,8 +1,8 @@
 """Position checks: health checks that find out which replicas are fresh enough for a read."""
 
+from juniperreel.routing.composition import Policy
 from juniperreel.routing.endpoint_state import EndpointState
 from juniperreel.routing.estimators import Budget, MovingAverage, mean
-from juniperreel.routing.parts import PolicyParts
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.policy.selection import Selection
 from juniperreel.routing.state import Endpoints, RequestState
@@ -12,9 +12,9 @@
 class PositionChecker:
     """Owns the budget of background checks, and how far behind replicas mostly are when they are checked."""
 
-    def __init__(self, parts: PolicyParts, selection: Selection) -> None:
-        self.parts = parts
-        self.state = parts.state
+    def __init__(self, policy: Policy, selection: Selection) -> None:
+        self.policy = policy
+        self.state = policy.state
         self.selection = selection
         self.budget = Budget(parameters.BACKGROUND_CHECK_RATIO, limit=1.0)
         self._lag_us = MovingAverage(0.0, 1 - parameters.REPORT_SMOOTHING)
@@ -30,11 +30,11 @@
         """Whether a read that found no fresh replica goes to the primary without a position check."""
         # Hundreds of routers with few responses would check for nearly every read while it, always fresh, has
         # capacity. After a check in vain the next one's price is saved.
-        primary = self.parts.primaries.serving_primary(self.state.group_of(request), for_read=True)
+        primary = self.policy.primaries.serving_primary(self.state.group_of(request), for_read=True)
         if primary is None or not self.selection.accepts(request, primary):
             return False
-        request.pressure = self.parts.shedder.primary_pressure(request, primary)
-        if self.parts.shedder.shed_probability(request, on_primary=True) > 0:
+        request.pressure = self.policy.shedder.primary_pressure(request, primary)
+        if self.policy.shedder.shed_probability(request, on_primary=True) > 0:
             return False
         if request.position_checks:
             return self.state.random.random() < primary.success_rate.value
@@ -77,7 +77,7 @@
         # good.
         if not self.state.settings.health_checks or self.budget.balance < 1 or request.attempt_count:
             return
-        stale = [e for e in candidates if not self.parts.freshness.is_fresh_enough(request, e)]
+        stale = [e for e in candidates if not self.policy.freshness.is_fresh_enough(request, e)]
         chosen = self.selection.draw_any(candidates) if stale else None
         if chosen in stale and self.state.now_us - chosen.checked_us > parameters.CHECK_INTERVAL_US:
             self.budget.spend()
--- a/juniperreel/routing/policy/selection.py
+++ b/juniperreel/routing/policy/selection.py
@@ -2,9 +2,9 @@
 
 import math
 
+from juniperreel.routing.composition import Policy
 from juniperreel.routing.endpoint_state import EndpointState
 from juniperreel.routing.estimators import mean, weighted_mean
-from juniperreel.routing.parts import PolicyParts
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.state import Endpoints, RequestState
 from juniperreel.routing.types import AttemptEnded, Outcome, StalenessGuard
@@ -13,9 +13,9 @@
 class Selection:
     """Owns the smoothed response times (srtt) of endpoints."""
 
-    def __init__(self, parts: PolicyParts) -> None:
-        self.parts = parts
-        self.state = parts.state
+    def __init__(self, policy: Policy) -> None:
+        self.policy = policy
+        self.state = policy.state
 
     def on_outcome(self, endpoint: EndpointState, request: RequestState, event: AttemptEnded) -> None:
         """Take over the response time of a successful attempt."""
@@ -25,15 +25,15 @@
 
     def accepts(self, request: RequestState, endpoint: EndpointState) -> bool:
         """Whether this endpoint may have this request's next attempt now."""
-        if not self.parts.outliers.accepts_attempt(endpoint):
+        if not self.policy.outliers.accepts_attempt(endpoint):
             return False
-        allowed = self.parts.retries.allows_attempt(request, endpoint)
-        return allowed and self.parts.slow_start.has_capacity(endpoint)
+        allowed = self.policy.retries.allows_attempt(request, endpoint)
+        return allowed and self.policy.slow_start.has_capacity(endpoint)
 
     def accepting(self, request: RequestState, among: Endpoints) -> Endpoints:
         """Those that may have the request, whatever their position."""
         group = self.state.group_of(request)
-        serving = [e for e in among if self.parts.endpoints.may_receive(e, group)]
+        serving = [e for e in among if self.policy.endpoints.may_receive(e, group)]
         return [e for e in serving if self.accepts(request, e)]
 
     def candidates(self, request: RequestState) -> Endpoints:
@@ -44,11 +44,11 @@
 
     def draw(self, request: RequestState, candidates: Endpoints) -> EndpointState | None:
         """A replica by 1/srtt among those known to be fresh enough; sets the request's pressure."""
-        fresh = [e for e in candidates if self.parts.freshness.is_fresh_enough(request, e)]
+        fresh = [e for e in candidates if self.policy.freshness.is_fresh_enough(request, e)]
         guarded = self.state.settings.staleness_guard is not StalenessGuard.OFF
         if not fresh and guarded and request.attempt_count == 0:
             slack_us = max(self.state.settings.staleness_wait_us, parameters.GUARDED_SLACK_US)
-            fresh = [e for e in candidates if self.parts.freshness.is_fresh_enough(request, e, slack_us)]
+            fresh = [e for e in candidates if self.policy.freshness.is_fresh_enough(request, e, slack_us)]
         if not fresh:
             return None
         # srtt lags by a response, so that an endpoint drawn by luck would be sent more than it can take.
@@ -59,7 +59,7 @@
             return None
         pool = pool or bounded
         weights = self.weights(pool)
-        pressures = [self.parts.shedder.pressure.value(e) for e in pool]
+        pressures = [self.policy.shedder.pressure.value(e) for e in pool]
         request.pressure = weighted_mean(pressures, weights)
         return self.state.random.choices(pool, weights)[0]
 
@@ -73,10 +73,12 @@
         # each an attempt or two, would give a new endpoint more than its part for half a minute.
         mean_srtt_us = mean([e.srtt_us for e in pool if e.has_responded], math.inf)
         weights = [self._weight(e, mean_srtt_us) for e in pool]
-        parts = [self.parts.slow_start.capacity_fraction(e) for e in pool]
-        rows = list(zip(pool, weights, parts, strict=True))
-        mean_weight = mean([weight for e, weight, part in rows if e.has_responded and part >= 1.0], math.inf)
-        limits = [self._limit(e, mean_weight, part) for e, _, part in rows]
+        fractions = [self.policy.slow_start.capacity_fraction(e) for e in pool]
+        rows = list(zip(pool, weights, fractions, strict=True))
+        mean_weight = mean(
+            [weight for e, weight, fraction in rows if e.has_responded and fraction >= 1.0], math.inf
+        )
+        limits = [self._weight_limit(e, mean_weight, fraction) for e, _, fraction in rows]
         return [min(weight, limit) for weight, limit in zip(weights, limits, strict=True)]
 
     def _weight(self, endpoint: EndpointState, mean_srtt_us: float) -> float:
@@ -89,7 +91,7 @@
         srtt_us = max(endpoint.srtt_us - excess_us * faded, parameters.MIN_SRTT_US)
         return max(rate, parameters.MIN_SUCCESS_RATE) ** 2 / srtt_us
 
-    def _limit(self, endpoint: EndpointState, mean_weight: float, capacity_fraction: float) -> float:
+    def _weight_limit(self, endpoint: EndpointState, mean_weight: float, capacity_fraction: float) -> float:
         if capacity_fraction < 1.0:
             multiple = parameters.SLOW_START_UTILIZATION * self.state.settings.overload_multiple
             return mean_weight * min(1.0, multiple * capacity_fraction)
--- a/juniperreel/routing/policy/shedding.py
+++ b/juniperreel/routing/policy/shedding.py
@@ -35,14 +35,14 @@
             self.pressure.observe(endpoint, parameters.LOST_PRESSURE)
         elif event.outcome is not Outcome.UNREACHABLE and self.retries.is_lost(request, event):
             withdrawn = self.retries.was_withdrawn(request, event)
-            part = event.duration_us / request.latency_objective_us
-            self.pressure.observe(endpoint, part if withdrawn else parameters.LOST_PRESSURE)
+            relative_duration = event.duration_us / request.latency_objective_us
+            self.pressure.observe(endpoint, relative_duration if withdrawn else parameters.LOST_PRESSURE)
 
     def primary_pressure(self, request: RequestState, primary: EndpointState) -> float:
         """The pressure of a primary that the request could go to."""
         # One without recent responses counts as moderately busy: hundreds of routers would each think it
         # idle.
-        observed = primary.pressure.weight(self.state.now_us) > 0 or self.pressure.knows_primaries()
+        observed = primary.pressure.weight(self.state.now_us) > 0 or self.pressure.has_primary_samples()
         sole = len(self.state.group_with(primary).endpoints) == 1
         if observed or sole or request.primary_only or request.primary_required:
             return self.pressure.value(primary)
--- a/juniperreel/routing/policy/slow_start.py
+++ b/juniperreel/routing/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: a warming endpoint gets no more requests than it surely can take."""
 
 from juniperreel.routing.endpoint_state import EndpointState
-from juniperreel.routing.estimators import PeakRate, Refreshed, linear_ramp
+from juniperreel.routing.estimators import CachedValue, PeakRate, linear_ramp
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.state import RouterState
 from juniperreel.routing.types import Outcome
@@ -13,7 +13,7 @@
     def __init__(self, state: RouterState) -> None:
         self.state = state
         self.peak_rate = PeakRate(parameters.THROUGHPUT_WINDOW_US, parameters.THROUGHPUT_PEAK_FADE_US)
-        self._warm_capacity = Refreshed(parameters.WARM_CAPACITY_REFRESH_US, self._sum_warm_capacity)
+        self._warm_capacity = CachedValue(parameters.WARM_CAPACITY_REFRESH_US, self._sum_warm_capacity)
 
     def capacity_fraction(self, endpoint: EndpointState) -> float:
         """The part of its full capacity that an endpoint surely has: 1 once it is warm."""
--- a/juniperreel/routing/pressure.py
+++ b/juniperreel/routing/pressure.py
@@ -43,7 +43,7 @@
         overdue = [age for age in ages if age > level]
         return (level * self._samples + sum(overdue)) / (self._samples + len(overdue))
 
-    def knows_primaries(self) -> bool:
+    def has_primary_samples(self) -> bool:
         """Whether primaries in general had enough recent responses."""
         return self._all_primaries.weight(self._state.now_us) >= self._min_weight
 
--- a/juniperreel/routing/router.py
+++ b/juniperreel/routing/router.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
 
-from juniperreel.routing.endpoint_state import IDLE_US
-from juniperreel.routing.parts import compose
+from juniperreel.routing.composition import build_policy
+from juniperreel.routing.endpoint_state import DISTANT_FUTURE_US
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.policy.dispatch import Dispatcher
 from juniperreel.routing.policy.position_checks import PositionChecker
@@ -43,11 +43,11 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         """Compose the parts. Raises ValueError for settings that no router can follow."""
         check_settings(settings)
-        self.parts = compose(settings, seed)
-        self.state = self.parts.state
-        self.selection = Selection(self.parts)
-        self.position_checks = PositionChecker(self.parts, self.selection)
-        self.dispatcher = Dispatcher(self.parts, self.position_checks)
+        self.policy = build_policy(settings, seed)
+        self.state = self.policy.state
+        self.selection = Selection(self.policy)
+        self.position_checks = PositionChecker(self.policy, self.selection)
+        self.dispatcher = Dispatcher(self.policy, self.position_checks)
         self._tick = TickTimer()
         self.handled_events = 0  # by `handle`; where it raised, the event of this index did
 
@@ -70,7 +70,7 @@
             if not isinstance(event, Request) or event.id not in disconnected:
                 self._on_event(event)
             self.handled_events += 1
-        self._on_queues_due(batch)
+        self._process_queues(batch)
         self._set_tick()
         return state.actions
 
@@ -91,7 +91,7 @@
             case HealthCheckEnded():
                 self._on_health_check_ended(event)
             case EndpointUpdate():
-                self.parts.endpoints.on_update(event)
+                self.policy.endpoints.on_update(event)
             case StreamStarted():
                 self._on_stream_started(event)
             case DeadlineShortened():
@@ -126,10 +126,10 @@
         if not 0 <= event.class_index < len(self.state.settings.classes):
             self.state.emit(Fail(event.id))
             return
-        request = self.parts.retries.new_request(event)
+        request = self.policy.retries.new_request(event)
         self.state.requests[event.id] = request
         self.position_checks.budget.earn()
-        self.parts.shedder.on_request(request)
+        self.policy.shedder.on_request(request)
         self.dispatcher.dispatch(request)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -138,13 +138,13 @@
             return
         attempt = self.state.end_attempt(request, event)
         endpoint = attempt.endpoint
-        self.parts.primaries.observe_response(endpoint, event.role)
+        self.policy.primaries.observe_response(endpoint, event.role)
         self.state.observe_positions(request, endpoint, event)
         self.state.observe_load_report(endpoint, event.load_report, parameters.MIN_CAPACITY)
-        self.parts.outliers.on_outcome(endpoint, request, event)
-        self.parts.slow_start.on_outcome(endpoint, event.outcome)
+        self.policy.outliers.on_outcome(endpoint, request, event)
+        self.policy.slow_start.on_outcome(endpoint, event.outcome)
         self.selection.on_outcome(endpoint, request, event)
-        self.parts.shedder.on_outcome(endpoint, request, event)
+        self.policy.shedder.on_outcome(endpoint, request, event)
         self.state.observe_execution(request, attempt, event.outcome)
         self.dispatcher.on_outcome(endpoint, request, event)
 
@@ -153,25 +153,27 @@
         if endpoint is None:
             return
         report = event.load_report or LoadReport()
-        self.parts.outliers.on_health_check(endpoint, event)
+        self.policy.outliers.on_health_check(endpoint, event)
         self.state.observe_load_report(endpoint, report, parameters.MIN_CAPACITY)
         self.position_checks.observe_report(endpoint, report)
-        self.parts.primaries.observe_report(endpoint, report)
+        self.policy.primaries.observe_report(endpoint, report)
 
-    def _on_queues_due(self, batch: Sequence[Event]) -> None:
+    def _process_queues(self, batch: Sequence[Event]) -> None:
         """Look at queued requests again when the timer fired or a health check has ended."""
         fired = any(isinstance(event, TimerFired) and self._tick.is_current(event.key) for event in batch)
         if fired:
             self._tick.clear()
-            self.parts.retries.cancel_overdue()
-            self.parts.endpoints.poll_if_due()
+            self.policy.retries.cancel_overdue()
+            self.policy.endpoints.poll_if_due()
         if fired or any(isinstance(event, HealthCheckEnded) for event in batch):
             for number in dict.fromkeys(r.request.group for r in self.state.requests.values()):
                 self.dispatcher.dispatch_queued(self.state.group(number))
 
     def _set_tick(self) -> None:
-        poll_delay_us = self.parts.endpoints.next_poll_us - self.state.now_us
+        poll_delay_us = self.policy.endpoints.next_poll_us - self.state.now_us
         delay_us = parameters.TICK_US if self.state.requests else max(poll_delay_us, parameters.TICK_US)
-        timer = self._tick.set_within(self.state.now_us, delay_us) if delay_us < IDLE_US // 2 else None
+        timer = (
+            self._tick.set_within(self.state.now_us, delay_us) if delay_us < DISTANT_FUTURE_US // 2 else None
+        )
         if timer is not None:
             self.state.emit(timer)
--- a/juniperreel/routing/state.py
+++ b/juniperreel/routing/state.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from juniperreel.routing.endpoint_state import NEVER, EndpointState, InFlightAttempt
+from juniperreel.routing.endpoint_state import DISTANT_PAST_US, EndpointState, InFlightAttempt
 from juniperreel.routing.estimators import (
     Backoff,
     DecayingMean,
@@ -77,7 +77,7 @@
         self.useful_until_us = useful_until_us  # a response is worth little after
         self.queue_deadline_us = queue_deadline_us  # unsent, it is not queued beyond
         self.queued_until_us = now_us
-        self.required_position_us = NEVER  # that a replica must have applied
+        self.required_position_us = DISTANT_PAST_US  # that a replica must have applied
         self.primary_required = False  # no replica's position is enough
         self.attempt_count = 0
         self.position_checks = 0
@@ -117,11 +117,11 @@
         self.listed_primary: EndpointState | None = None
         self.queued: dict[str, RequestState] = {}
         self.pressure = pressure  # of its replicas
-        self.session_watermark_us = NEVER  # commits of sessions that are not remembered any more
+        self.session_watermark_us = DISTANT_PAST_US  # commits of sessions that are not remembered any more
 
 
 @dataclass(frozen=True, slots=True)
-class Estimators:
+class EstimatorFactory:
     """Makes the estimators of new records, with the policy's parameters; `success_rate` takes the time."""
 
     pressure: Callable[[], DecayingMean]
@@ -141,7 +141,7 @@
         mean_load: MovingAverage,
         sessions: SessionTable,
         log_interval_us: int,
-        estimators: Estimators,
+        estimator_factory: EstimatorFactory,
     ) -> None:
         """Start without endpoints and requests; `response_times` is by class."""
         self.settings = settings
@@ -156,7 +156,7 @@
         self.mean_load = mean_load  # of all endpoints' reports, by unit of capacity
         self.sessions = sessions
         self._log_throttle = LogThrottle(log_interval_us)
-        self._estimators = estimators
+        self._estimator_factory = estimator_factory
 
     def emit(self, action: Action) -> None:
         """Add an action to the current batch's."""
@@ -178,7 +178,7 @@
 
     def new_pressure(self) -> DecayingMean:
         """Pressure without samples."""
-        return self._estimators.pressure()
+        return self._estimator_factory.pressure()
 
     def group_of(self, request: RequestState) -> GroupState:
         """The group that a request is for."""
@@ -326,7 +326,7 @@
         Positions are learned again, and reads of sessions need what was committed up to now.
         """
         for endpoint in self.endpoints.values():
-            endpoint.position_us = NEVER
+            endpoint.position_us = DISTANT_PAST_US
             endpoint.shift_start(shift_us)
         self.sessions.clear()
         for group in self.groups.values():
@@ -343,9 +343,9 @@
         endpoint = EndpointState(
             info,
             self.now_us,
-            self._estimators.success_rate(self.now_us),
+            self._estimator_factory.success_rate(self.now_us),
             self.new_pressure(),
-            self._estimators.backoff(),
+            self._estimator_factory.backoff(),
             srtt_us,
             slow_start_tokens,
         )
@@ -369,11 +369,11 @@
         """Sort the known endpoints into their groups, and let go of primaries that are forgotten."""
         for group in self.groups.values():
             group.endpoints = []
-            group.primary = self._still_known(group.primary)
-            group.listed_primary = self._still_known(group.listed_primary)
+            group.primary = self._if_still_known(group.primary)
+            group.listed_primary = self._if_still_known(group.listed_primary)
         for _, endpoint in sorted(self.endpoints.items()):
             if include_removed or endpoint.info.readiness is not Readiness.REMOVED:
                 self.group(endpoint.info.group).endpoints.append(endpoint)
 
-    def _still_known(self, endpoint: EndpointState | None) -> EndpointState | None:
+    def _if_still_known(self, endpoint: EndpointState | None) -> EndpointState | None:
         return self.endpoints.get(endpoint.info.id) if endpoint is not None else None
--- a/juniperreel/routing/throttle.py
+++ b/juniperreel/routing/throttle.py
@@ -4,7 +4,7 @@
 
 from juniperreel.routing.types import SetTimer
 
-LONG_AGO_US = -(1 << 60)
+DISTANT_PAST_US = -(1 << 60)
 
 
 class LogThrottle:
@@ -17,7 +17,7 @@
 
     def passes(self, message: str, now_us: int) -> bool:
         """Whether the message is to be written now."""
-        if now_us - self._passed.get(message, LONG_AGO_US) < self._interval_us:
+        if now_us - self._passed.get(message, DISTANT_PAST_US) < self._interval_us:
             return False
         recent = {text: at for text, at in self._passed.items() if now_us - at < self._interval_us}
         self._passed = recent | {message: now_us}
--- a/juniperreel/simulator_adapter.py
+++ b/juniperreel/simulator_adapter.py
@@ -42,7 +42,7 @@
     UpdateKind,
 )
 
-TRAILING_TEXT = ("config=", "reason_text=", "payload=")  # fields that reach to the end of their line
+TRAILING_FIELDS = ("config=", "reason_text=", "payload=")  # fields that reach to the end of their line
 OUTCOMES = {
     "GOOD": Outcome.OK,
     "BAD": Outcome.ERROR,
@@ -62,8 +62,8 @@
     "Error": UpdateKind.FAILED,
 }
 ROLES = {0: Role.UNKNOWN, 1: Role.PRIMARY, 2: Role.REPLICA}
-STAMP_ROLES = 4  # a stamp is a position in milliseconds times this, plus the role
-EVENTS = "RESULT, ORDER, EXPIRED, BELL, CHECKED, FLOWING, HEARD or UPDATE"
+STAMP_ROLE_BASE = 4  # a stamp is a position in milliseconds times this, plus the role
+EXPECTED_EVENTS = "RESULT, ORDER, EXPIRED, BELL, CHECKED, FLOWING, HEARD or UPDATE"
 US_PER_SECOND = 1_000_000
 US_PER_MS = 1_000
 
@@ -118,7 +118,7 @@
     name: str
     fields: Fields
 
-    def need(self, field: str) -> str:
+    def require(self, field: str) -> str:
         """The value of a field. Raises MissingFieldError."""
         try:
             return self.fields[field]
@@ -165,7 +165,7 @@
         key, equals, tail = rest.partition("=")
         if not equals or not key or " " in key:
             raise MalformedFieldError(rest)
-        if rest.startswith(TRAILING_TEXT):
+        if rest.startswith(TRAILING_FIELDS):
             fields[key] = tail
             break
         fields[key], _, rest = tail.partition(" ")
@@ -175,7 +175,7 @@
 def read_endpoint(item: Message) -> Endpoint:
     """Translate one row of an endpoint list."""
     return Endpoint(
-        id=item.need("member"),
+        id=item.require("member"),
         group=int(float(item.get("group", "0"))),
         zone=int(item.get("zone", "0")),
         machine_type=int(item.get("model", "0")),
@@ -202,9 +202,9 @@
 
     def __init__(self, enlist: Message) -> None:
         """Start the router that an ENLIST describes."""
-        settings = read_settings(json.loads(enlist.need("config")))
+        settings = read_settings(json.loads(enlist.require("config")))
         self.position_zero_us = settings.position_zero_us
-        self.router = Router(settings.router, int(enlist.need("random_seed")))
+        self.router = Router(settings.router, int(enlist.require("random_seed")))
 
     def read_event(self, message: Message) -> Event | None:
         """Translate a message; None for one that the router has no use for. Raises WireError."""
@@ -214,27 +214,27 @@
             case "ORDER":
                 return self._read_request(message)
             case "EXPIRED":
-                return ClientDisconnected(message.need("ref"))
+                return ClientDisconnected(message.require("ref"))
             case "BELL":
                 return TimerFired(int(message.get("key_back", "0")))
             case "CHECKED":
                 return self._read_health_check_ended(message)
             case "FLOWING":
                 attempt = int(message.get("seq_no", "0"))
-                return StreamStarted(message.need("ref"), attempt, message.need("member"))
+                return StreamStarted(message.require("ref"), attempt, message.require("member"))
             case "HEARD":
                 return None
             case _:
-                raise UnexpectedMessageError(message.name, EVENTS)
+                raise UnexpectedMessageError(message.name, EXPECTED_EVENTS)
 
     def _read_attempt_ended(self, result: Message) -> AttemptEnded:
-        position_ms, role = divmod(int(result.get("stamp", "0")), STAMP_ROLES)
+        position_ms, role = divmod(int(result.get("stamp", "0")), STAMP_ROLE_BASE)
         position_us = self.position_zero_us + position_ms * US_PER_MS
         return AttemptEnded(
-            request=result.need("ref"),
+            request=result.require("ref"),
             attempt=int(result.get("seq_no", "0")),
-            endpoint=result.need("member"),
-            outcome=OUTCOMES[result.need("outcome")],
+            endpoint=result.require("member"),
+            outcome=OUTCOMES[result.require("outcome")],
             duration_us=microseconds(result.get("spent_s", "0")),
             request_finished=read_flag(result.get("done_flag", "0")),
             role=ROLES.get(role, Role.UNKNOWN),
@@ -247,11 +247,11 @@
         age_ms = float(order.get("since_write_ms", "0"))  # 0: the session has written nothing
         expected_s = order.fields.get("expected_s")
         return Request(
-            id=order.need("ref"),
+            id=order.require("ref"),
             class_index=int(order.get("priority", "0")),
             tenant_index=int(order.get("tenant", "0")),
             group=int(float(order.get("group_no", "0"))),
-            deadline_us=microseconds_down(order.need("client_deadline_s")),
+            deadline_us=microseconds_down(order.require("client_deadline_s")),
             session=order.fields.get("conn_key"),
             session_age_us=math.floor(age_ms * US_PER_MS) if age_ms else None,
             expected_duration_us=None if expected_s is None else microseconds(expected_s),
@@ -260,8 +260,8 @@
 
     def _read_health_check_ended(self, checked: Message) -> HealthCheckEnded:
         return HealthCheckEnded(
-            endpoint=checked.need("member"),
-            outcome=OUTCOMES[checked.need("outcome")],
+            endpoint=checked.require("member"),
+            outcome=OUTCOMES[checked.require("outcome")],
             duration_us=microseconds(checked.get("spent_s", "0")),
             load_report=self._read_load_report(checked.get("gauge", "")),
         )
@@ -287,28 +287,28 @@
 
 def render_action(action: Action, instance: str) -> str:
     """An action as the wire has it."""
-    who = f"driver={instance}"
+    target = f"driver={instance}"
     match action:
         case Send(request, endpoint, timeout_us):
             limit = f" allow_for_s={render_seconds(timeout_us)}" if timeout_us else ""
-            return f"CALL_OUT {who} ref={request} member={endpoint}{limit}"
+            return f"CALL_OUT {target} ref={request} member={endpoint}{limit}"
         case Cancel(request, attempt):
-            return f"CANCEL {who} ref={request} seq_no={attempt}"
+            return f"CANCEL {target} ref={request} seq_no={attempt}"
         case Reject(request, retry_after_us):
             hint = f" not_before_for_s={render_seconds(retry_after_us)}" if retry_after_us else ""
-            return f"OVERLOAD_REPLY {who} ref={request}{hint}"
+            return f"OVERLOAD_REPLY {target} ref={request}{hint}"
         case Fail(request):
-            return f"DROP_REQUEST {who} ref={request}"
+            return f"DROP_REQUEST {target} ref={request}"
         case SetTimer(delay_us, key):
-            return f"AFTER {who} span_s={render_seconds(delay_us)} key_back={key}"
+            return f"AFTER {target} span_s={render_seconds(delay_us)} key_back={key}"
         case StartHealthCheck(endpoint):
-            return f"TOUCH {who} member={endpoint}"
+            return f"TOUCH {target} member={endpoint}"
         case Subscribe(enabled):
-            return f"SUBSCRIBE {who} want={int(enabled)}"
+            return f"SUBSCRIBE {target} want={int(enabled)}"
         case FetchEndpointList():
-            return f"PULL {who}"
+            return f"PULL {target}"
         case Log(message):
-            return f"REMARK {who} reason_text={message}"
+            return f"REMARK {target} reason_text={message}"
 
 
 class Adapter:
@@ -326,12 +326,12 @@
         clock = parse_line(next(remaining, ""))
         if clock.name != "CLOCK":
             raise UnexpectedMessageError(clock.name, "CLOCK")
-        now_us = microseconds(clock.need("ts_s"))
+        now_us = microseconds(clock.require("ts_s"))
         events: dict[str, list[Event]] = {}
         for line in remaining:
             message = parse_line(line)
             if message.name == "TABLE":
-                endpoints = read_endpoint_list(remaining, int(message.need("rows_in")))
+                endpoints = read_endpoint_list(remaining, int(message.require("rows_in")))
                 self._lists[int(message.get("ref", "0"))] = endpoints
             else:
                 self._collect(message, events)
@@ -342,7 +342,7 @@
 
     def _collect(self, message: Message, events: dict[str, list[Event]]) -> None:
         """Start or stop an instance, or add an event to its batch."""
-        instance = message.need("driver")
+        instance = message.require("driver")
         if message.name == "ENLIST":
             self.instances[instance] = self._start(message)
             events[instance] = []
@@ -359,7 +359,7 @@
     def _read_event(self, instance: str, message: Message) -> Event | None:
         if message.name != "UPDATE":
             return self.instances[instance].read_event(message)
-        kind = UPDATE_KINDS[message.need("mode")]
+        kind = UPDATE_KINDS[message.require("mode")]
         if kind is UpdateKind.FAILED:
             return EndpointUpdate(kind, ())
         return EndpointUpdate(kind, self._lists[int(message.get("ref", "0"))])
@@ -368,11 +368,11 @@
         try:
             actions = self.instances[instance].router.handle(now_us, batch)
         except Exception as error:  # the wire has a message for any failure of the policy
-            return [f"BUG driver={instance} reason_text={describe(error)}"]
+            return [f"BUG driver={instance} reason_text={format_error(error)}"]
         return [render_action(action, instance) for action in actions]
 
 
-def describe(error: Exception) -> str:
+def format_error(error: Exception) -> str:
     """An error in one line."""
     return " ".join(f"{type(error).__name__}: {error}".split())
 
@@ -398,7 +398,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, KeyError, ValueError, ArithmeticError) as error:
-        print(f"simulator_adapter: {describe(error)}", file=sys.stderr)
+        print(f"simulator_adapter: {format_error(error)}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/routing/simulation.py
+++ b/tests/routing/simulation.py
@@ -44,9 +44,9 @@
 
 RESPONSE_PROBABILITY = 0.4
 DISCONNECT_PROBABILITY = 0.02
-FAILOVER_BELOW = 0.03
-LAG_CHANGE_BELOW = 0.05
-DRAIN_BELOW = 0.06
+FAILOVER_THRESHOLD = 0.03
+LAG_CHANGE_THRESHOLD = 0.05
+DRAIN_THRESHOLD = 0.06
 
 
 class Fleet:
@@ -298,13 +298,13 @@
         """Now and then a failover, another lag, or an endpoint that drains."""
         draw = self.random.random()
         fleet = self.fleet
-        if draw < FAILOVER_BELOW:
+        if draw < FAILOVER_THRESHOLD:
             fleet.fail_over(self.random.choice(fleet.names))
             observed_as_replica.discard(fleet.primary)
-        elif draw < LAG_CHANGE_BELOW:
+        elif draw < LAG_CHANGE_THRESHOLD:
             lag_us = self.random.choice([5 * MS, 200 * MS, 2 * SEC])
             fleet.lags_us[self.random.choice(fleet.names)] = lag_us
-        elif draw < DRAIN_BELOW and len(fleet.draining_since_us) < MAX_DRAINING:
+        elif draw < DRAIN_THRESHOLD and len(fleet.draining_since_us) < MAX_DRAINING:
             fleet.draining_since_us.setdefault(self.random.choice(fleet.names), self.now_us)
             kind = self.random.choice([UpdateKind.DELTA, UpdateKind.SNAPSHOT])
             return [EndpointUpdate(kind, fleet.listed())]
--- a/tests/routing/test_crossings.py
+++ b/tests/routing/test_crossings.py
@@ -123,8 +123,8 @@
 
 def test_send_of_a_keyed_repeat_is_confirmed_only_within_the_window_of_its_key() -> None:
     """A connection that comes up late would carry a repeat that its endpoint takes for a new write."""
-    forgetful = replace(WRITE, deduplication_window_us=1 * SEC)
-    script = script_with_one_replica(classes=classes_with(forgetful))
+    short_window_write = replace(WRITE, deduplication_window_us=1 * SEC)
+    script = script_with_one_replica(classes=classes_with(short_window_write))
     write = script.submit_request(WRITE)
     script.advance_clock(500 * MS)
     script.end_attempt(write, Outcome.RESET)
@@ -137,8 +137,8 @@
 
 
 def test_send_of_a_keyed_write_that_was_not_executed_is_confirmed_whatever_its_window() -> None:
-    forgetful = replace(WRITE, deduplication_window_us=1 * SEC)
-    script = script_with_one_replica(classes=classes_with(forgetful))
+    short_window_write = replace(WRITE, deduplication_window_us=1 * SEC)
+    script = script_with_one_replica(classes=classes_with(short_window_write))
     write = script.submit_request(WRITE)
     script.end_attempt(write, Outcome.REJECTED)
     script.run_for(100 * MS)
@@ -160,7 +160,7 @@
     write = script.submit_request(WRITE)
     assert script.router.confirm_send(script.now_us, fresh_read, FIRST_ATTEMPT)
     assert script.router.confirm_send(script.now_us, write, FIRST_ATTEMPT)
-    script.router.parts.primaries.observe_role(script.endpoint_state(PRIMARY), Role.REPLICA)
+    script.router.policy.primaries.observe_role(script.endpoint_state(PRIMARY), Role.REPLICA)
     assert not script.router.confirm_send(script.now_us, fresh_read, FIRST_ATTEMPT)
     # A write that is found ineligible does no harm.
     assert script.router.confirm_send(script.now_us, write, FIRST_ATTEMPT)
@@ -197,7 +197,7 @@
 def test_endpoint_that_restarted_while_others_serve_warms_up_again() -> None:
     """Listed as the same endpoint with a later start, while others carry work: it must not be rushed."""
     script = script_with_one_replica()
-    slow_start = script.router.parts.slow_start
+    slow_start = script.router.policy.slow_start
     assert slow_start.capacity_fraction(script.endpoint_state("a")) == 1.0
     script.advance_clock(SEC)
     script.update_endpoints(
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from juniperreel.routing.endpoint_state import NEVER
+from juniperreel.routing.endpoint_state import DISTANT_PAST_US
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.types import Readiness, StartHealthCheck, Subscribe, UpdateKind
 from tests.routing.router_script import (
@@ -89,7 +89,7 @@
         script = RouterScript(seed, must_poll=True, router_count=1000)
         script.update_endpoints(endpoint("a"), kind=UpdateKind.SNAPSHOT)
         script.update_endpoints(kind=UpdateKind.FAILED)
-        pauses_us.append(script.router.parts.endpoints.next_poll_us - script.now_us)
+        pauses_us.append(script.router.policy.endpoints.next_poll_us - script.now_us)
     pauses_us.sort()
     assert pauses_us[0] >= SEC
     assert pauses_us[100] < 3500 * MS
@@ -118,7 +118,7 @@
         script.update_endpoints(endpoint(name, readiness=Readiness.REMOVED), kind=UpdateKind.DELTA)
     assert len(script.router.state.endpoints) < 3 + 2 * parameters.REMOVED_ENDPOINT_TTL_US // (5 * SEC)
     script.update_endpoints(endpoint("n0"), kind=UpdateKind.DELTA)
-    assert script.endpoint_state("n0").position_us == NEVER
+    assert script.endpoint_state("n0").position_us == DISTANT_PAST_US
     read = script.submit_request(BOUNDED_READ)
     assert script.endpoints_tried(read) != ["n0"]
 
--- a/tests/routing/test_outlier.py
+++ b/tests/routing/test_outlier.py
@@ -55,7 +55,7 @@
     script = RouterScript()
     script.start_group("a", "b")
     state = script.endpoint_state("a")
-    outliers = script.router.parts.outliers
+    outliers = script.router.policy.outliers
     outliers.record_loss(state, Outcome.UNREACHABLE)
     assert state.ejected is False
     outliers.record_loss(state, Outcome.UNREACHABLE)
@@ -94,10 +94,10 @@
     script.start_group("a")
     script.end_attempt(script.submit_request(ANY_READ))
     for _ in range(6):
-        hurried_request = script.submit_request(ANY_READ, deadline_in_us=60 * MS)
+        short_deadline_request = script.submit_request(ANY_READ, deadline_in_us=60 * MS)
         script.advance_clock(50 * MS)
         script.end_attempt(script.submit_request(ANY_READ))
-        script.end_attempt(hurried_request, Outcome.TIMEOUT, duration_us=50 * MS)
+        script.end_attempt(short_deadline_request, Outcome.TIMEOUT, duration_us=50 * MS)
     state = script.endpoint_state("a")
     assert not state.ejected
     assert state.pressure.value(script.now_us) < 0.3
--- a/tests/routing/test_position_checks.py
+++ b/tests/routing/test_position_checks.py
@@ -115,10 +115,10 @@
     script.make_primary_busy()
     script.advance_clock(UNKNOWN_FRESHNESS_US)
     read = script.submit_request(BOUNDED_READ)
-    in_vain = started_health_check(script)
-    script.pass_health_check(in_vain.endpoint, lag_us=2 * SEC)
+    stale_check = started_health_check(script)
+    script.pass_health_check(stale_check.endpoint, lag_us=2 * SEC)
     assert script.endpoints_tried(read) == []
-    assert script.actions_of(StartHealthCheck)[-1] != in_vain
+    assert script.actions_of(StartHealthCheck)[-1] != stale_check
 
 
 def test_session_read_after_a_write_delays_its_check_until_a_report_can_show_the_commit() -> None:
--- a/tests/routing/test_retry.py
+++ b/tests/routing/test_retry.py
@@ -115,13 +115,13 @@
     """bad_requests: the fault is the request's, and good ones keep endpoints and retries."""
     script = RouterScript()
     script.start_group("a", "b")
-    balance_before = script.router.parts.retries.budget.balance
+    balance_before = script.router.policy.retries.budget.balance
     for _ in range(5):
         request = script.submit_request(ANY_READ)
         script.end_attempt(request, Outcome.ERROR)
         script.end_attempt(request, Outcome.ERROR)
         assert len(script.endpoints_tried(request)) == 2
         assert script.actions_of(Reject, request)
-    assert script.router.parts.retries.budget.balance >= balance_before
+    assert script.router.policy.retries.budget.balance >= balance_before
     draws = script.count_draws(ANY_READ, requests=60)
     assert min(draws["a"], draws["b"]) >= 10
--- a/tests/routing/test_shedding.py
+++ b/tests/routing/test_shedding.py
@@ -71,13 +71,13 @@
     script.start_group("a")
     script.update_endpoints(endpoint("q", group=1), endpoint("z", group=1), kind=UpdateKind.DELTA)
     script.pass_health_check("q", is_primary=True)
-    unheard_primary = script.endpoint_state("q")
-    pressure = script.router.parts.shedder.pressure
-    assert pressure.value(unheard_primary) == 0
+    unobserved_primary = script.endpoint_state("q")
+    pressure = script.router.policy.shedder.pressure
+    assert pressure.value(unobserved_primary) == 0
     for _ in range(4):
         script.run_for(SEC)
         script.end_attempt(script.submit_request(WRITE), role=Role.PRIMARY, duration_us=450 * MS)
-    assert pressure.value(unheard_primary) > 0.3
+    assert pressure.value(unobserved_primary) > 0.3
 
 
 def test_read_that_its_replica_would_shed_overflows_to_a_primary_with_capacity() -> None:
@@ -98,7 +98,7 @@
     script.start_group("a")
     script.end_attempt(script.submit_request(ANY_READ))
     state = script.endpoint_state("a")
-    pressure = script.router.parts.shedder.pressure
+    pressure = script.router.policy.shedder.pressure
     before = pressure.with_overdue(state, 0.1)
     for number in range(8):
         attempt = InFlightAttempt(script.now_us - 900 * MS, latency_objective_us=500 * MS)
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -10,7 +10,7 @@
 
 def capacity_fraction(script: RouterScript, name: str) -> float:
     """The part of its capacity that the router takes an endpoint to have."""
-    return script.router.parts.slow_start.capacity_fraction(script.endpoint_state(name))
+    return script.router.policy.slow_start.capacity_fraction(script.endpoint_state(name))
 
 
 def test_endpoint_that_has_just_started_gets_few_requests() -> None:
@@ -31,7 +31,7 @@
     for _ in range(60):
         script.submit_request(ANY_READ)
         script.run_for(20 * MS)
-    assert script.router.parts.slow_start.peak_rate.per_second == 0.0
+    assert script.router.policy.slow_start.peak_rate.per_second == 0.0
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
     for _ in range(3):
         script.fail_health_check("a", duration_us=check_duration_us)
         script.run_for(600 * MS)
-    script.router.parts.outliers.reinstate(script.endpoint_state("a"))
+    script.router.policy.outliers.reinstate(script.endpoint_state("a"))
     assert capacity_fraction(script, "a") == pytest.approx(expected_fraction)
 
 
@@ -100,7 +100,7 @@
     state = script.endpoint_state("a")
     assert state.slow_start.tokens >= 0
     state.down_since_us = script.now_us - 2 * SEC
-    script.router.parts.outliers.reinstate(state)
+    script.router.policy.outliers.reinstate(state)
     script.run_for(1 * SEC)
     script.process()
-    assert script.router.parts.slow_start.has_capacity(state)
+    assert script.router.policy.slow_start.has_capacity(state)
