--- a/juniperreel/routing/policy/__init__.py
+++ b/juniperreel/routing/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every routing decision and every tuned value."""
+"""The routing policy: every routing decision and every tuning parameter."""
--- a/juniperreel/routing/policy/dispatch.py
+++ b/juniperreel/routing/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: an open request without an attempt in flight is sent, queued or finished."""
+"""Dispatch: sends, queues or finishes open requests that have no attempt in flight."""
 
 from juniperreel.routing.composition import Policy
 from juniperreel.routing.endpoint_state import EndpointState
@@ -11,7 +11,7 @@
 
 
 class Dispatcher:
-    """Decides what is done next with each request."""
+    """Decides the next step of each request."""
 
     def __init__(self, policy: Policy, position_checks: PositionChecker) -> None:
         self.policy = policy
@@ -33,14 +33,14 @@
             self._dispatch_to_primary(request)
 
     def dispatch_queued(self, group: GroupState) -> None:
-        """Dispatch what has been queued long enough, or can't be served any more."""
+        """Dispatch queued requests that are due or can no longer be served."""
         for request in list(group.queued.values()):
             if request.queued_until_us <= self.state.now_us or self.policy.retries.cannot_succeed(request):
                 group.queued.pop(request.id, None)
                 self.dispatch(request)
 
     def _dispatch_to_replica(self, request: RequestState) -> bool:
-        """False where only the primary is left."""
+        """Return False where only the primary can serve the request."""
         candidates = self.selection.candidates(request)
         replica = self.selection.draw(request, candidates)
         may_wait = replica is None and not self.position_checks.prefers_primary(request, candidates)
@@ -67,8 +67,8 @@
             self._try_in_turn(request, group)
 
     def _try_in_turn(self, request: RequestState, group: GroupState) -> None:
-        # Without health checks a write itself searches for the primary: others reject it at next to no cost.
-        # A read that needs fresh data may_wait, since a replica would serve it from old data.
+        # Without health checks, a write finds the primary by trying endpoints: replicas reject it cheaply.
+        # A read that requires fresh data waits, because a replica would serve it from stale data.
         ready = self.selection.accepting(request, group.endpoints)
         searching = request.is_write and not self.state.settings.health_checks
         if ready and searching and request.attempt_count + 1 < self.state.settings.max_attempts:
@@ -82,8 +82,8 @@
             self.policy.retries.finish_unserved(request)
 
     def _overflow_to_primary(self, request: RequestState) -> bool:
-        # Replicas that die or hang leave the rest of their group overloaded beside an idle primary. Only one
-        # with many recent responses takes what they shed, or hundreds of routers would have its writes wait.
+        # When replicas crash or hang, the others are overloaded while the primary is idle. Only a primary
+        # with many recent responses takes the overflow, as reads of hundreds of routers could delay writes.
         primary = self.policy.primaries.serving_primary(self.state.group_of(request), for_read=True)
         if primary is None or primary.pressure.weight(self.state.now_us) < parameters.OVERFLOW_MIN_WEIGHT:
             return False
@@ -100,9 +100,9 @@
         self.policy.slow_start.on_send(endpoint)
 
     def confirm_send(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Whether an attempt still holds in the moment when it is written to its connection."""
-        # While that came up, a session's write may be answered, a position grow old, a role change, a drain
-        # begin, a key be forgotten.
+        """Whether an attempt is still valid when it is written to its connection."""
+        # While the connection was being established, a write of the session may have completed, a position
+        # become stale, a role changed, a drain started or an idempotency key expired.
         if not self.policy.retries.confirms_send(request, endpoint):
             return False
         self.policy.freshness.update_required_position(request)
@@ -116,7 +116,7 @@
         return fresh and request.consistency is not Consistency.FRESH
 
     def on_outcome(self, endpoint: EndpointState, request: RequestState, event: AttemptEnded) -> None:
-        """Finish the request, or retry it where nothing else is in flight."""
+        """Finish the request, or retry it unless another attempt is in flight."""
         if request.finished or event.request_finished or event.outcome is Outcome.OK:
             self.state.finish(request)
         elif not request.in_flight:
@@ -131,7 +131,7 @@
         fails_anywhere = healthy and request.error_count >= parameters.ERRORS_TO_FAIL
         spends_budget = outcome in BUDGETED_OUTCOMES
         if fails_anywhere or (spends_budget and retries.budget.balance < 1):
-            retries.finish_unserved(request)  # it would use up the retries of others
+            retries.finish_unserved(request)  # a retry would use up the budget of others
             return
         if spends_budget:
             retries.budget.spend()
--- a/juniperreel/routing/policy/endpoint_list.py
+++ b/juniperreel/routing/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: updates of discovery, when it is polled, and which endpoints may get new requests."""
+"""The endpoint list: discovery updates, poll times, and which endpoints may receive new requests."""
 
 from dataclasses import replace
 
@@ -9,16 +9,16 @@
 
 
 class EndpointTracker:
-    """Owns the table of endpoints and the time of the next poll."""
+    """Maintains the endpoint table and schedules the next poll."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
         self.next_poll_us = DISTANT_FUTURE_US
-        self._updates_missed = False  # a call failed since the last list
+        self._updates_missed = False  # a discovery call failed since the last update
 
     def may_receive(self, endpoint: EndpointState, group: GroupState) -> bool:
-        """Rule 3: nothing new for draining or removed endpoints."""
-        # A draining primary takes requests for half the grace; then its successor must be searched for.
+        """Safety rule 3: draining and removed endpoints receive no new requests."""
+        # A draining primary accepts requests for half of the drain grace; then its successor must be found.
         readiness = endpoint.info.readiness
         if readiness is Readiness.DRAINING:
             draining_us = self.state.now_us - endpoint.readiness_changed_us
@@ -27,20 +27,21 @@
         return readiness is Readiness.READY or removed_may
 
     def poll_if_due(self) -> None:
-        """Ask for the list where no watch brings it."""
+        """Request the endpoint list if a poll is due."""
         if self.state.now_us >= self.next_poll_us:
             self.next_poll_us = DISTANT_FUTURE_US
             self.state.emit(Subscribe(True))
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Take over an update, or plan the next call after one that brought none."""
+        """Apply an update, or schedule the next call after a failed one."""
         state = self.state
         jitter_us = int(state.random.uniform(0, parameters.POLL_JITTER_US * state.settings.router_count))
         if update.kind in (UpdateKind.TIMED_OUT, UpdateKind.FAILED):
             self._updates_missed = True
         if update.kind is UpdateKind.TIMED_OUT:
-            # What a silent watch misses counts as notified seconds after it fell silent, and much of that has
-            # passed: it is opened anew at once. Nobody rejected it; those that began apart fall due apart.
+            # Updates missed by a silent watch take effect seconds after it went silent, and most of that time
+            # has passed, so it is reopened at once. Discovery did not reject the call, and watches opened at
+            # different times also time out at different times, so no jitter is needed.
             state.emit(Subscribe(True))
             return
         if update.kind is UpdateKind.FAILED:
@@ -55,14 +56,14 @@
                 self.update_endpoint(replace(endpoint.info, readiness=Readiness.REMOVED))
         self._updates_missed = False
         if not state.settings.removed_endpoints_serve:
-            # Those that are replaced all day would be remembered for good.
+            # Without this, the table would grow for as long as endpoints are replaced.
             state.forget_removed_endpoints(parameters.REMOVED_ENDPOINT_TTL_US)
         state.rebuild_groups(include_removed=state.settings.removed_endpoints_serve)
 
     def _retry_pause_us(self, jitter_us: int) -> int:
-        """How long after a failed call the list is asked for again."""
-        # Large fleets that ask all at once are turned away again, and those that wait long send to endpoints
-        # that drain: what the list tells binds soon after discovery has it, and where it is pushed, at once.
+        """The pause between a failed discovery call and the next one."""
+        # A large fleet that retries all at once is rejected again; one that waits too long sends to draining
+        # endpoints. Updates take effect soon after discovery has them, and immediately where they are pushed.
         settings = self.state.settings
         longest_us = parameters.MAX_POLL_RETRY_US if settings.must_poll else settings.drain_grace_us // 2
         shortest_us = min(parameters.POLL_RETRY_US, longest_us // 2)
@@ -71,7 +72,7 @@
         return shortest_us + 2 * jitter_us * spread_us // whole_spread_us
 
     def update_endpoint(self, info: Endpoint) -> None:
-        """Take over one entry of the list."""
+        """Apply one entry of the endpoint list."""
         state = self.state
         endpoint = state.endpoints.get(info.id)
         was_draining = endpoint is not None and endpoint.info.readiness is Readiness.DRAINING
@@ -80,7 +81,9 @@
         elif endpoint.update(info, state.now_us):
             endpoint.restart(state.now_us, self._initial_srtt_us(), state.random.random())
         if self._updates_missed and info.readiness is Readiness.DRAINING and not was_draining:
-            endpoint.readiness_changed_us = state.now_us - state.settings.drain_grace_us  # at the latest
+            endpoint.readiness_changed_us = (
+                state.now_us - state.settings.drain_grace_us
+            )  # assume that it expired
         if info.listed_primary and state.settings.list_names_primary:
             state.group(info.group).listed_primary = endpoint
 
--- a/juniperreel/routing/policy/freshness.py
+++ b/juniperreel/routing/policy/freshness.py
@@ -1,4 +1,4 @@
-"""Freshness: which log position a read needs, and which endpoints are known to have applied it."""
+"""Freshness: the log position a read requires, and the endpoints known to have applied it."""
 
 from dataclasses import dataclass
 
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True)
 class Freshness:
-    """Owns the positions that requests need; those of endpoints are only what is known, and never go back."""
+    """Computes required positions. Known positions of endpoints are lower bounds and never decrease."""
 
     state: RouterState
 
     def is_fresh_enough(self, request: RequestState, endpoint: EndpointState, slack_us: int = 0) -> bool:
-        """Rule 5, judged at the moment of sending."""
+        """Safety rule 5: the endpoint has applied what the read requires, as of the time of sending."""
         required_us = request.required_position_us
         if request.consistency is Consistency.BOUNDED:
             required_us = self.state.now_us - request.request_class.max_staleness_us
         return endpoint.position_us + slack_us >= required_us
 
     def update_required_position(self, request: RequestState) -> None:
-        """Require what the session's responses said up to now."""
-        # A write in flight may be executed and its response lost: then only the primary surely has it.
+        """Raise a session read's required position to the latest known commit of its session."""
+        # A write in flight may have been executed and its response lost: then only the primary surely has it.
         if request.consistency is not Consistency.SESSION:
             return
         settings = self.state.settings
@@ -37,4 +37,4 @@
         received_us = min(sent_us, default=self.state.now_us) + parameters.RESPONSE_TRANSIT_US
         if settings.responses_may_be_lost and self.state.now_us > received_us:
             request.required_position_us = self.state.now_us
-            request.primary_required = True  # no health check finds a replica as fresh as that
+            request.primary_required = True  # no health check can show a replica this fresh
--- a/juniperreel/routing/policy/position_checks.py
+++ b/juniperreel/routing/policy/position_checks.py
@@ -1,4 +1,4 @@
-"""Position checks: health checks that find out which replicas are fresh enough for a read."""
+"""Position checks: health checks that determine which replicas are fresh enough for a read."""
 
 from juniperreel.routing.composition import Policy
 from juniperreel.routing.endpoint_state import EndpointState
@@ -10,7 +10,7 @@
 
 
 class PositionChecker:
-    """Owns the budget of background checks, and how far behind replicas mostly are when they are checked."""
+    """Maintains the budget of background checks and the mean replication lag in load reports."""
 
     def __init__(self, policy: Policy, selection: Selection) -> None:
         self.policy = policy
@@ -20,16 +20,17 @@
         self._lag_us = MovingAverage(0.0, 1 - parameters.REPORT_SMOOTHING)
 
     def observe_report(self, endpoint: EndpointState, report: LoadReport) -> None:
-        """Take over how far behind a replica is, and have queued reads look again."""
+        """Record a replica's lag and re-evaluate reads queued for a position check."""
         group = self.state.group_with(endpoint)
         if report.position_us is not None and endpoint is not group.primary:
             self._lag_us.observe(min(self.state.now_us - report.position_us, parameters.LOAD_REPORT_TTL_US))
         self.state.wake_position_checks(group)
 
     def prefers_primary(self, request: RequestState, candidates: Endpoints) -> bool:
-        """Whether a read that found no fresh replica goes to the primary without a position check."""
-        # Hundreds of routers with few responses would check for nearly every read while it, always fresh, has
-        # capacity. After a check in vain the next one's price is saved.
+        """Whether a read without a fresh replica goes to the primary instead of starting a position check."""
+        # With hundreds of routers and few responses each, nearly every read would need a check although the
+        # primary, which is always fresh, has capacity. After a check that found no fresh replica, the primary
+        # saves the cost of another check.
         primary = self.policy.primaries.serving_primary(self.state.group_of(request), for_read=True)
         if primary is None or not self.selection.accepts(request, primary):
             return False
@@ -42,15 +43,15 @@
             return False
         pool = [primary, *candidates]
         weights = list(zip(pool, self.selection.weights(pool), strict=True))
-        # The small initial srtt of replicas without responses would keep the primary out.
+        # Replicas without responses have a small initial srtt and would otherwise outweigh the primary.
         mean_weight = mean([weight for e, weight in weights if e.has_responded], 1.0)
         adjusted = [weight if e.has_responded else mean_weight for e, weight in weights]
         return self.state.random.choices(pool, adjusted)[0] is primary
 
     def check(self, request: RequestState, candidates: Endpoints) -> bool:
-        """Check a replica drawn like any other while the read waits. False: waiting gains nothing."""
-        # With little traffic no position is known to be fresh when a read comes, and all would crowd the
-        # primary.
+        """Check a replica drawn by weight while the read waits; return False if waiting is useless."""
+        # At low request rates no position is known to be fresh when a read arrives, and all reads would go to
+        # the primary.
         now_us = self.state.now_us
         first = not request.position_checks
         unchecked = [e for e in candidates if now_us - e.checked_us > parameters.POSITION_CHECK_US]
@@ -61,7 +62,7 @@
         if not allowed or exhausted or self._is_too_late(request, wait_us):
             request.position_checks = parameters.MAX_POSITION_CHECKS
             return False
-        if ahead_us > 0:  # no check finds a replica as fresh as what its session wrote just now
+        if ahead_us > 0:  # no report can show the session's latest write yet
             request.queued_until_us = now_us + ahead_us
             return True
         request.position_checks += 1
@@ -72,9 +73,9 @@
         return True
 
     def check_in_background(self, request: RequestState, candidates: Endpoints) -> None:
-        """While checks are rare, check who would be drawn were all known to be fresh."""
-        # Else only those that had work are known to be fresh and get more: some crowded, others idle for
-        # good.
+        """Within the budget, check the replica that would be drawn if all were known to be fresh."""
+        # Otherwise only replicas that already serve requests are known to be fresh: these would be overloaded
+        # and the others stay idle.
         if not self.state.settings.health_checks or self.budget.balance < 1 or request.attempt_count:
             return
         stale = [e for e in candidates if not self.policy.freshness.is_fresh_enough(request, e)]
--- a/juniperreel/routing/policy/primary.py
+++ b/juniperreel/routing/policy/primary.py
@@ -1,4 +1,4 @@
-"""Which endpoint is a group's primary, and how one is searched for."""
+"""Tracks the primary of each group and searches for it when it is unknown."""
 
 from juniperreel.routing.endpoint_state import EndpointState
 from juniperreel.routing.policy import parameters
@@ -9,7 +9,7 @@
 
 
 class PrimaryTracker:
-    """Owns the groups' primaries: the endpoint last observed in that role."""
+    """Maintains each group's primary: the endpoint last observed in that role."""
 
     def __init__(self, state: RouterState, endpoints: EndpointTracker, outliers: OutlierDetector) -> None:
         self.state = state
@@ -19,8 +19,8 @@
         self._search_interval_us = int(parameters.CHECK_INTERVAL_US * intervals)
 
     def serving_primary(self, group: GroupState, for_read: bool) -> EndpointState | None:
-        """The primary, if it may have an attempt now."""
-        # Before any was observed, writes go to the listed one, or hundreds of routers would search for it.
+        """Return the primary if it may receive an attempt now."""
+        # Until a primary is observed, writes go to the listed one; else hundreds of routers would search.
         primary = group.primary
         listed = group.listed_primary
         if primary is None and not for_read and listed is not None and listed.role is Role.UNKNOWN:
@@ -30,19 +30,19 @@
         return primary if self.endpoints.may_receive(primary, group) else None
 
     def observe_response(self, endpoint: EndpointState, role: Role) -> None:
-        """Take over the role named in a response, also in one that stopped short."""
+        """Record the role named in a response, even in a truncated one."""
         if role is not Role.UNKNOWN:
             self.observe_role(endpoint, role)
             endpoint.role_observed_us = self.state.now_us
 
     def observe_report(self, endpoint: EndpointState, report: LoadReport) -> None:
-        """Take over the role in a load report, which is dated, unless a recent response named one."""
+        """Record the role in a load report, which may be outdated, unless a recent response named one."""
         age_us = self.state.now_us - endpoint.role_observed_us
         if report.is_primary is not None and age_us > parameters.ROLE_RESPONSE_TTL_US:
             self.observe_role(endpoint, Role.PRIMARY if report.is_primary else Role.REPLICA)
 
     def observe_role(self, endpoint: EndpointState, role: Role) -> None:
-        """Believe that the endpoint has this role."""
+        """Set the endpoint's role and update the group's primary."""
         group = self.state.group_with(endpoint)
         endpoint.role = role
         if role is Role.PRIMARY and group.primary is not endpoint:
@@ -54,7 +54,7 @@
             self.state.log("primary stepped down", group=endpoint.info.group)
 
     def search(self, group: GroupState) -> None:
-        """Ask all endpoints for their role, where health checks are allowed."""
+        """Find the primary by health-checking all endpoints, where health checks are allowed."""
         for endpoint in group.endpoints if self.state.settings.health_checks else ():
             due = self.state.now_us - endpoint.checked_us > self._search_interval_us
             if due and self.endpoints.may_receive(endpoint, group):
--- a/juniperreel/routing/policy/retry.py
+++ b/juniperreel/routing/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retries: attempts that are allowed, the retry budget, time-outs, and final answers without a response."""
+"""Retries: permitted attempts, the retry budget, time-outs, and final answers without a response."""
 
 from juniperreel.routing.endpoint_state import EndpointState
 from juniperreel.routing.estimators import Budget
@@ -8,14 +8,14 @@
 
 
 class RetryPolicy:
-    """Owns the retry budget, which bounds what retries add to the load of endpoints."""
+    """Maintains the retry budget, which bounds the load that retries add to endpoints."""
 
     def __init__(self, state: RouterState) -> None:
         self.state = state
         self.budget = Budget(parameters.RETRY_BUDGET_RATIO, limit=parameters.RETRY_BUDGET_BURST)
 
     def new_request(self, request: Request) -> RequestState:
-        """Start a request's record, and earn its part of a retry."""
+        """Create the record of a new request and add its fraction of a retry to the budget."""
         self.budget.earn()
         now_us = self.state.now_us
         request_class = self.state.settings.classes[request.class_index]
@@ -27,7 +27,7 @@
         return RequestState(request, request_class, now_us, now_us + useful_us, now_us + queue_us)
 
     def allows_attempt(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Rule 2: whether this request may be sent to this endpoint now."""
+        """Safety rule 2: whether this request may be sent to this endpoint now."""
         concurrent = request.in_flight and not self.state.settings.hedging
         if request.finished or concurrent or endpoint.info.group != request.request.group:
             return False
@@ -38,13 +38,13 @@
         return self._may_be_executed_on(request, endpoint)
 
     def confirms_send(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Whether an attempt may still be written, which can be seconds after it was decided."""
-        # Its key may be forgotten by then, or its time be up: a loop that was held up finds a connection that
-        # came up before it finds that nobody waits for it any more.
+        """Whether an attempt may still be written, possibly seconds after it was decided."""
+        # By then the idempotency key or the deadline may have expired: a stalled event loop may see the new
+        # connection before it sees that the client has stopped waiting.
         return not self._is_too_late(request.deadline_us) and self._may_be_executed_on(request, endpoint)
 
     def cannot_succeed(self, request: RequestState) -> bool:
-        """Whether no further attempt can bring a response that is allowed and worth something."""
+        """Whether no further attempt is permitted that could return a useful response."""
         end_us = min(request.deadline_us - parameters.TICK_US, request.useful_until_us)
         if self.state.now_us > request.received_us and not request.reached_endpoint:
             end_us = min(end_us, request.queue_deadline_us - parameters.TICK_US)
@@ -55,7 +55,7 @@
         return request.idempotency is Idempotency.NON_IDEMPOTENT or self._key_expired(request)
 
     def finish_unserved(self, request: RequestState) -> None:
-        """Answer at once: rejected where a client's retry does no harm, else failed."""
+        """Answer at once: rejected if a retry by the client is safe, otherwise failed."""
         not_executed = request.first_execution_us is None and not request.in_flight
         everywhere = request.request_class.key_scope is KeyScope.ALL
         deduplicated = everywhere and request.idempotency is Idempotency.KEYED
@@ -65,21 +65,21 @@
             self.state.fail(request)
 
     def overdue_after_us(self, request: RequestState) -> float:
-        """How long a response of this class may take before it is taken for lost."""
+        """How long a response of this class may take before it is considered lost."""
         times = self.state.response_times_of(request)
         deviations_us = parameters.OVERDUE_DEVIATIONS * times.deviation_us
         return times.mean_us + max(deviations_us, parameters.OVERDUE_FLOOR_US)
 
     def attempt_timeout_us(self, request: RequestState) -> int:
-        """The time-out of an attempt that is sent now."""
+        """Return the time-out of an attempt sent now."""
         timeout_us = min(request.deadline_us, request.useful_until_us) - self.state.now_us
         if self.state.settings.cancellation:
             return timeout_us
         return min(timeout_us, int(self.overdue_after_us(request)))
 
     def cancel_overdue(self) -> None:
-        """Cancel overdue attempts where a retry is possible."""
-        # A hung endpoint, or a response lost on its way, would hold the request until it is worth nothing.
+        """Cancel overdue attempts of requests that can be retried."""
+        # A hung endpoint or a lost response would otherwise hold the request until a response is worthless.
         if self.state.stalled or not self.state.settings.cancellation:
             return
         for request in self.state.requests.values():
@@ -90,13 +90,13 @@
                     self.state.cancel_attempt(request, number)
 
     def is_lost(self, request: RequestState, event: AttemptEnded) -> bool:
-        """Whether an attempt got no response, which is not this router's own doing."""
+        """Whether an attempt got no response for reasons outside this router."""
         silent = event.outcome in (Outcome.UNREACHABLE, Outcome.TIMEOUT, Outcome.CANCELLED)
         return silent and not self.state.stalled and not request.finished
 
     def was_withdrawn(self, request: RequestState, event: AttemptEnded) -> bool:
         """Whether an attempt ended before its response was overdue."""
-        # Clients with little time left would make endpoints look silent and overloaded that are neither.
+        # Otherwise clients with short deadlines would make healthy endpoints look silent and overloaded.
         objective_us = request.latency_objective_us - parameters.TICK_US
         early = event.duration_us < min(objective_us, self.overdue_after_us(request))
         return event.outcome is Outcome.CANCELLED or (event.outcome is Outcome.TIMEOUT and early)
--- a/juniperreel/routing/policy/selection.py
+++ b/juniperreel/routing/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection: who may serve a read, and the draw by 1/srtt among them."""
+"""Selection: the endpoints that may serve a read, and the random draw among them weighted by 1/srtt."""
 
 import math
 
@@ -11,39 +11,39 @@
 
 
 class Selection:
-    """Owns the smoothed response times (srtt) of endpoints."""
+    """Maintains the smoothed response times (srtt) of endpoints and draws among them."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
         self.state = policy.state
 
     def on_outcome(self, endpoint: EndpointState, request: RequestState, event: AttemptEnded) -> None:
-        """Take over the response time of a successful attempt."""
+        """Record the response time of a successful attempt."""
         if event.outcome is Outcome.OK and not self.state.stalled:
             response_us = max(event.duration_us, 1)
             self.state.observe_response_time(request, endpoint, response_us, parameters.SRTT_SMOOTHING)
 
     def accepts(self, request: RequestState, endpoint: EndpointState) -> bool:
-        """Whether this endpoint may have this request's next attempt now."""
+        """Whether this endpoint may receive the request's next attempt now."""
         if not self.policy.outliers.accepts_attempt(endpoint):
             return False
         allowed = self.policy.retries.allows_attempt(request, endpoint)
         return allowed and self.policy.slow_start.has_capacity(endpoint)
 
     def accepting(self, request: RequestState, among: Endpoints) -> Endpoints:
-        """Those that may have the request, whatever their position."""
+        """Return the endpoints that may receive the request, regardless of their position."""
         group = self.state.group_of(request)
         serving = [e for e in among if self.policy.endpoints.may_receive(e, group)]
         return [e for e in serving if self.accepts(request, e)]
 
     def candidates(self, request: RequestState) -> Endpoints:
-        """The group's replicas that may have the request."""
+        """Return the group's replicas that may receive the request."""
         group = self.state.group_of(request)
         replicas = [e for e in group.endpoints if e is not group.primary]
         return self.accepting(request, [e for e in replicas if e.info.id != request.avoided_endpoint])
 
     def draw(self, request: RequestState, candidates: Endpoints) -> EndpointState | None:
-        """A replica by 1/srtt among those known to be fresh enough; sets the request's pressure."""
+        """Draw a replica by 1/srtt among those known to be fresh enough; set the request's pressure."""
         fresh = [e for e in candidates if self.policy.freshness.is_fresh_enough(request, e)]
         guarded = self.state.settings.staleness_guard is not StalenessGuard.OFF
         if not fresh and guarded and request.attempt_count == 0:
@@ -51,7 +51,7 @@
             fresh = [e for e in candidates if self.policy.freshness.is_fresh_enough(request, e, slack_us)]
         if not fresh:
             return None
-        # srtt lags by a response, so that an endpoint drawn by luck would be sent more than it can take.
+        # srtt is updated only on a response; without a bound, chance alone could overload an endpoint.
         limit = parameters.IN_FLIGHT_BOUND * (sum(len(e.in_flight) for e in fresh) / len(fresh)) + 1
         bounded = [e for e in fresh if len(e.in_flight) <= limit]
         pool = [e for e in bounded if not self._reports_overload(e)]
@@ -64,13 +64,13 @@
         return self.state.random.choices(pool, weights)[0]
 
     def draw_any(self, pool: Endpoints) -> EndpointState:
-        """One of the pool by 1/srtt."""
+        """Draw one endpoint of the pool by 1/srtt."""
         return self.state.random.choices(pool, self.weights(pool))[0]
 
     def weights(self, pool: Endpoints) -> list[float]:
-        """1/srtt, limited for endpoints without responses and for warming ones."""
-        # The small initial srtt, or an idle machine, would draw a rush: hundreds of routers that draw seldom,
-        # each an attempt or two, would give a new endpoint more than its part for half a minute.
+        """Return weights by 1/srtt, limited for endpoints without responses and for warming ones."""
+        # A small initial srtt or an idle machine would attract a burst: hundreds of routers that draw rarely,
+        # sending one or two attempts each, would exceed a new endpoint's share for half a minute.
         mean_srtt_us = mean([e.srtt_us for e in pool if e.has_responded], math.inf)
         weights = [self._weight(e, mean_srtt_us) for e in pool]
         fractions = [self.policy.slow_start.capacity_fraction(e) for e in pool]
@@ -82,8 +82,8 @@
         return [min(weight, limit) for weight, limit in zip(weights, limits, strict=True)]
 
     def _weight(self, endpoint: EndpointState, mean_srtt_us: float) -> float:
-        # Quick failures must not earn share. Routers that meet an endpoint once in many seconds would avoid
-        # it long after its recovery, and hundreds of them leave it idle: what speaks against it fades.
+        # Fast failures must not gain traffic. Routers that rarely send to an endpoint would avoid it long
+        # after its recovery, and with hundreds of them it would stay idle, so negative evidence decays.
         success = endpoint.success_rate
         faded = 1 - math.exp((success.updated_us - self.state.now_us) / parameters.EVIDENCE_FADE_US)
         rate = success.value + (1 - success.value) * faded
--- a/juniperreel/routing/policy/shedding.py
+++ b/juniperreel/routing/policy/shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: pressure on endpoints, and which requests are rejected early because of it."""
+"""Load shedding: rejects requests early, depending on the pressure on endpoints and on priority."""
 
 import math
 
@@ -12,7 +12,7 @@
 
 
 class LoadShedder:
-    """Owns the mean priority of requests and the tenants' traffic."""
+    """Maintains the mean priority of requests and the traffic of tenants."""
 
     def __init__(self, state: RouterState, retries: RetryPolicy, pressure: PressureTable) -> None:
         self.state = state
@@ -23,12 +23,12 @@
         self._tenants = DecayingShares(len(state.settings.tenants), parameters.TENANT_SMOOTHING)
 
     def on_request(self, request: RequestState) -> None:
-        """Count a new request in the mean priority and its tenant's traffic."""
+        """Add a new request to the mean priority and to its tenant's traffic."""
         self._mean_priority.observe(self._priority(request.request_class, request.request.class_index))
         self._tenants.increment(request.request.tenant_index)
 
     def on_outcome(self, endpoint: EndpointState, request: RequestState, event: AttemptEnded) -> None:
-        """Count the end of an attempt in the pressure; a refused connection is no load."""
+        """Update the pressure by the outcome of an attempt; refused connections do not count as load."""
         if event.outcome is Outcome.OK and not self.state.stalled:
             self.pressure.observe(endpoint, max(event.duration_us, 1) / request.latency_objective_us)
         elif event.outcome is Outcome.REJECTED:
@@ -39,9 +39,9 @@
             self.pressure.observe(endpoint, relative_duration if withdrawn else parameters.LOST_PRESSURE)
 
     def primary_pressure(self, request: RequestState, primary: EndpointState) -> float:
-        """The pressure of a primary that the request could go to."""
-        # One without recent responses counts as moderately busy: hundreds of routers would each think it
-        # idle.
+        """Return the pressure on a primary that could serve the request."""
+        # A primary without recent responses is assumed to be moderately loaded: otherwise each of hundreds of
+        # routers would consider it idle.
         observed = primary.pressure.weight(self.state.now_us) > 0 or self.pressure.has_primary_samples()
         sole = len(self.state.group_with(primary).endpoints) == 1
         if observed or sole or request.primary_only or request.primary_required:
@@ -49,8 +49,8 @@
         return parameters.UNOBSERVED_PRIMARY_PRESSURE
 
     def shed_probability(self, request: RequestState, on_primary: bool) -> float:
-        """The chance to be rejected at the pressure on the chosen endpoint; none at 0 and less."""
-        # A queue would make all responses late: what is worth least is rejected first, and early.
+        """Return the probability of rejection at the chosen endpoint's pressure; 0 or less means none."""
+        # Queueing would make all responses late, so the lowest priorities are rejected first, and early.
         priority = self._priority(request.request_class, request.request.class_index)
         relative = self._mean_priority.ratio(priority)
         lowest, highest = parameters.PRIORITY_RANGE
@@ -64,7 +64,7 @@
         return (request.pressure / threshold - start) / (parameters.SHEDDING_END - start)
 
     def sheds(self, request: RequestState, on_primary: bool) -> bool:
-        """Whether this request is rejected: drawn with its probability."""
+        """Decide at random, by the shed probability, whether this request is rejected."""
         probability = self.shed_probability(request, on_primary)
         return probability > 0 and self.state.random.random() < probability
 
