--- a/juniperreel/platform_settings.py
+++ b/juniperreel/platform_settings.py
@@ -1,6 +1,6 @@
-"""The operators' settings object in the router's types: one copy for the simulator's wire and the platform.
+"""Converts the platform's settings object to the router's types, for the simulator adapter and the platform.
 
-Standard library only. Translates and decides nothing; keys it does not know are skipped.
+Uses the standard library only. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -26,25 +26,23 @@
     "once": Idempotency.NON_IDEMPOTENT,
 }
 KEY_SCOPES = {"all": KeyScope.ALL, "zone": KeyScope.ZONE, "cell": KeyScope.GROUP}
-ROUNDING_TOLERANCE_US = (
-    1e-6  # of a microsecond: a bound that is a whole one as a decimal is not rounded to the one below
-)
+ROUNDING_TOLERANCE_US = 1e-6  # keeps floor() from losing a microsecond to binary rounding of decimals
 
 JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """The router's settings, and where the clock of log positions starts on the platform's clock."""
+    """The router's settings, and the origin of log positions on the platform's clock."""
 
     router: Settings
     position_zero_us: int
 
 
 def read_settings(raw: JsonObject) -> PlatformSettings:
-    """Translate the settings object.
+    """Convert the settings object.
 
-    Raises KeyError, ValueError or TypeError for an object that is not the settings.
+    Raises KeyError, ValueError or TypeError if it is malformed.
     """
     limits = raw["ceilings"]
     rules = raw["rules"]
@@ -85,7 +83,7 @@
 
 
 def _read_classes(services: list[JsonObject], specifics: JsonObject) -> tuple[RequestClass, ...]:
-    """The request classes; what concerns freshness stands in lists of its own, by class."""
+    """Convert the request classes; freshness settings are in separate lists, indexed by class."""
     consistencies = specifics["consistency"]
     staleness = specifics["lag_allowed_s"]
     return tuple(
--- a/juniperreel/simulator_adapter.py
+++ b/juniperreel/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire, to and from the router's events and actions.
+"""Adapter between the simulator's line protocol and the router's events and actions.
 
-Reads batches of lines on standard input, hosts one `Router` for each instance named there, and writes one
-reply for each batch. It translates and decides nothing.
+Reads batches of lines from standard input, hosts one `Router` per instance, and writes one reply per batch.
+Makes no routing decisions.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     UpdateKind,
 )
 
-TRAILING_FIELDS = ("config=", "reason_text=", "payload=")  # fields that reach to the end of their line
+TRAILING_FIELDS = ("config=", "reason_text=", "payload=")  # fields whose value extends to the end of the line
 OUTCOMES = {
     "GOOD": Outcome.OK,
     "BAD": Outcome.ERROR,
@@ -62,7 +62,7 @@
     "Error": UpdateKind.FAILED,
 }
 ROLES = {0: Role.UNKNOWN, 1: Role.PRIMARY, 2: Role.REPLICA}
-STAMP_ROLE_BASE = 4  # a stamp is a position in milliseconds times this, plus the role
+STAMP_ROLE_BASE = 4  # stamp = position in milliseconds * STAMP_ROLE_BASE + role
 EXPECTED_EVENTS = "RESULT, ORDER, EXPIRED, BELL, CHECKED, FLOWING, HEARD or UPDATE"
 US_PER_SECOND = 1_000_000
 US_PER_MS = 1_000
@@ -71,94 +71,90 @@
 
 
 class WireError(Exception):
-    """Input that is not the wire."""
+    """Input that violates the line protocol."""
 
 
 class MissingFieldError(WireError):
-    """A message without a field that it needs."""
+    """A message lacks a required field."""
 
     def __init__(self, message: str, field: str) -> None:
-        """Name the message and the field."""
-        super().__init__(f"{message} without {field}")
+        super().__init__(f"{message}: missing field {field}")
         self.message = message
         self.field = field
 
 
 class MalformedFieldError(WireError):
-    """A field that is not name=value, or has a value of another type."""
+    """A field is not of the form name=value, or its value has the wrong type."""
 
     def __init__(self, text: str) -> None:
-        """Show the beginning of the text."""
         super().__init__(f"malformed field: {text[:60]!r}")
         self.text = text
 
 
 class UnexpectedMessageError(WireError):
-    """A message where another one has to stand."""
+    """A message of an unexpected kind."""
 
     def __init__(self, name: str, expected: str) -> None:
-        """Name both."""
-        super().__init__(f"{name!r} where {expected} is expected")
+        super().__init__(f"unexpected message {name!r}, expected {expected}")
         self.name = name
         self.expected = expected
 
 
 class InstanceNotRunningError(WireError):
-    """A message for an instance that has not started."""
+    """A message for an instance that is not running."""
 
     def __init__(self, message: str, instance: str) -> None:
-        """Name the message and the instance."""
-        super().__init__(f"{message} for {instance}, which does not run")
+        super().__init__(f"{message} for instance {instance}, which is not running")
         self.instance = instance
 
 
 class Message(NamedTuple):
-    """One line of the wire."""
+    """One line of the protocol."""
 
     name: str
     fields: Fields
 
     def require(self, field: str) -> str:
-        """The value of a field. Raises MissingFieldError."""
+        """Return the value of a required field. Raises MissingFieldError."""
         try:
             return self.fields[field]
         except KeyError:
             raise MissingFieldError(self.name, field) from None
 
     def get(self, field: str, default: str) -> str:
-        """The value of a field that may be left out."""
+        """Return the value of an optional field."""
         return self.fields.get(field, default)
 
 
 def microseconds_down(seconds_text: str) -> int:
-    """Whole microseconds, rounded down: for deadlines and positions."""
+    """Convert seconds to whole microseconds, rounded down: for deadlines and positions."""
     return int((Decimal(seconds_text) * US_PER_SECOND).to_integral_value(ROUND_FLOOR))
 
 
 def microseconds_up(seconds_text: str) -> int:
-    """Whole microseconds, rounded up: for the times from which something holds."""
+    """Convert seconds to whole microseconds, rounded up: for start times."""
     return int((Decimal(seconds_text) * US_PER_SECOND).to_integral_value(ROUND_CEILING))
 
 
 def microseconds(seconds_text: str) -> int:
-    """Whole microseconds, rounded to the nearest."""
+    """Convert seconds to whole microseconds, rounded to the nearest."""
     return round(float(seconds_text) * US_PER_SECOND)
 
 
 def read_flag(text: str) -> bool:
-    """A boolean. Raises WireError."""
+    """Parse a boolean, 0 or 1. Raises WireError."""
     if text not in ("0", "1"):
         raise MalformedFieldError(text)
     return text == "1"
 
 
 def render_seconds(us: int) -> str:
-    """Seconds in decimal, without trailing zeros."""
+    """Format microseconds as decimal seconds without trailing zeros."""
     return f"{us / US_PER_SECOND:.6f}".rstrip("0").rstrip(".")
 
 
 def parse_line(line: str) -> Message:
-    """Read a message name and its fields. Raises WireError."""
+    """Parse a message name and its fields. Raises WireError."""
     name, _, rest = line.partition(" ")
     fields: Fields = {}
     while rest:
@@ -173,7 +169,7 @@
 
 
 def read_endpoint(item: Message) -> Endpoint:
-    """Translate one row of an endpoint list."""
+    """Convert one row of an endpoint list."""
     return Endpoint(
         id=item.require("member"),
         group=int(float(item.get("group", "0"))),
@@ -187,7 +183,7 @@
 
 
 def read_endpoint_list(lines: Iterator[str], row_count: int) -> tuple[Endpoint, ...]:
-    """Read the rows that follow a TABLE. Raises WireError where there are fewer."""
+    """Read the rows that follow a TABLE. Raises WireError if there are fewer than announced."""
     endpoints = []
     for _ in range(row_count):
         item = parse_line(next(lines, ""))
@@ -198,16 +194,16 @@
 
 
 class HostedRouter:
-    """One instance: its router, and where its clock of log positions starts."""
+    """The router of one instance, and the origin of its log positions."""
 
     def __init__(self, enlist: Message) -> None:
-        """Start the router that an ENLIST describes."""
+        """Create the router from an ENLIST message."""
         settings = read_settings(json.loads(enlist.require("config")))
         self.position_zero_us = settings.position_zero_us
         self.router = Router(settings.router, int(enlist.require("random_seed")))
 
     def read_event(self, message: Message) -> Event | None:
-        """Translate a message; None for one that the router has no use for. Raises WireError."""
+        """Convert a message to an event; None for messages that the router ignores. Raises WireError."""
         match message.name:
             case "RESULT":
                 return self._read_attempt_ended(message)
@@ -244,7 +240,7 @@
 
     @staticmethod
     def _read_request(order: Message) -> Request:
-        age_ms = float(order.get("since_write_ms", "0"))  # 0: the session has written nothing
+        age_ms = float(order.get("since_write_ms", "0"))  # 0 if the session has written nothing
         expected_s = order.fields.get("expected_s")
         return Request(
             id=order.require("ref"),
@@ -286,7 +282,7 @@
 
 
 def render_action(action: Action, instance: str) -> str:
-    """An action as the wire has it."""
+    """Format an action as a line of the protocol."""
     target = f"driver={instance}"
     match action:
         case Send(request, endpoint, timeout_us):
@@ -312,16 +308,15 @@
 
 
 class Adapter:
-    """All instances of this process, and the endpoint lists that batches refer to by number."""
+    """All instances of this process, and the endpoint lists that messages refer to by number."""
 
     def __init__(self, start: Callable[[Message], HostedRouter] = HostedRouter) -> None:
-        """Start without instances."""
         self._start = start
         self.instances: dict[str, HostedRouter] = {}
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def process_batch(self, lines: Iterable[str]) -> list[str]:
-        """The reply to one batch, given without its FLUSH; the reply comes without ACK. Raises WireError."""
+        """Process a batch, without its FLUSH, and return the reply without ACK. Raises WireError."""
         remaining = iter(lines)
         clock = parse_line(next(remaining, ""))
         if clock.name != "CLOCK":
@@ -367,18 +362,18 @@
     def _handle(self, instance: str, now_us: int, batch: list[Event]) -> list[str]:
         try:
             actions = self.instances[instance].router.handle(now_us, batch)
-        except Exception as error:  # the wire has a message for any failure of the policy
+        except Exception as error:  # the protocol reports any failure of the policy as BUG
             return [f"BUG driver={instance} reason_text={format_error(error)}"]
         return [render_action(action, instance) for action in actions]
 
 
 def format_error(error: Exception) -> str:
-    """An error in one line."""
+    """Format an error as a single line."""
     return " ".join(f"{type(error).__name__}: {error}".split())
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends. Raises WireError."""
+    """Process batches until the input ends. Raises WireError."""
     adapter = Adapter()
     lines: list[str] = []
     for raw in source:
@@ -394,7 +389,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; 2 for input that is not the wire."""
+    """Serve standard input and output. Returns 2 for input that violates the protocol."""
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, KeyError, ValueError, ArithmeticError) as error:
