--- a/juniperreel/routing/__init__.py
+++ b/juniperreel/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The routing decisions: types, state, policy, and the loop that feeds one router. Does no I/O."""
+"""Request routing without I/O: types, state, policy, and the loop that drives one router."""
--- a/juniperreel/routing/composition.py
+++ b/juniperreel/routing/composition.py
@@ -1,4 +1,4 @@
-"""Composition of one router's policy: its parts, each with its own state and decisions."""
+"""Composition of one router's policy from components, each with its own state and decisions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What selection, position checks and dispatch, which bring the parts together, decide with."""
+    """The policy components that selection, position checks and dispatch combine."""
 
     state: RouterState
     endpoints: EndpointTracker
@@ -34,7 +34,7 @@
 
 
 def build_policy(settings: Settings, seed: int) -> Policy:
-    """Make the parts of a router that starts; the primary tracker takes its first random draw here."""
+    """Create the components of a router; the primary tracker takes the first random number."""
     state = build_state(settings, seed)
     endpoints = EndpointTracker(state)
     retries = RetryPolicy(state)
@@ -53,7 +53,7 @@
 
 
 def build_state(settings: Settings, seed: int) -> RouterState:
-    """A router's tables, their estimators made with the policy's parameters."""
+    """Create the router's tables, with estimators that use the policy's parameters."""
     gain = 1 - parameters.RESPONSE_TIME_SMOOTHING
     objectives = [request_class.latency_objective_us for request_class in settings.classes]
     return RouterState(
--- a/juniperreel/routing/endpoint_state.py
+++ b/juniperreel/routing/endpoint_state.py
@@ -1,7 +1,7 @@
-"""What one router believes of one endpoint, and since when.
+"""One router's view of an endpoint.
 
-A plain record and its upkeep: no decision and no tuned value. Times and log positions are microseconds on the
-router's clock.
+A plain record and its updates, without policy decisions or tuning parameters. Times and log positions are in
+microseconds on the router's clock.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from juniperreel.routing.estimators import Backoff, DecayingMean, SuccessRate, TokenBucket
 from juniperreel.routing.types import Endpoint, Readiness, Role
 
-DISTANT_FUTURE_US = 1 << 60  # long after any clock reading
-DISTANT_PAST_US = -DISTANT_FUTURE_US  # long before any
+DISTANT_FUTURE_US = 1 << 60  # later than any clock reading
+DISTANT_PAST_US = -DISTANT_FUTURE_US  # earlier than any clock reading
 
 
 @dataclass(frozen=True, slots=True)
 class InFlightAttempt:
-    """An attempt as its endpoint's record has it."""
+    """An attempt in flight, as recorded for its endpoint."""
 
     sent_us: int
     latency_objective_us: int
 
 
 class EndpointState:
-    """What the router believes of one endpoint, and since when."""
+    """One router's view of an endpoint: list entry, health, load, position and role."""
 
     def __init__(
         self,
@@ -36,33 +36,33 @@
         srtt_us: float,
         slow_start_tokens: float,
     ) -> None:
-        """Start without any observation but the list's."""
+        """Create the record from the endpoint list alone, without any observation."""
         self.info = info
-        self.readiness_changed_us = now_us  # when its readiness was learned
+        self.readiness_changed_us = now_us  # when the router learned of its readiness
         self.was_draining = info.readiness is Readiness.DRAINING
         self.warming_since_us = info.started_us or DISTANT_PAST_US
         self.srtt_us = srtt_us  # smoothed response time
-        self.has_responded = False  # whether `srtt_us` is measured
+        self.has_responded = False  # whether `srtt_us` is a measured value
         self.consecutive_losses = 0
         self.last_response_us = DISTANT_PAST_US
         self.success_rate = success_rate
         self.in_flight: dict[tuple[str, int], InFlightAttempt] = {}  # by request and attempt
         self.ejected = False
-        self.down_since_us = 0  # 0: not known to be down
+        self.down_since_us = 0  # 0 if not known to be down
         self.backoff = backoff
-        self.retry_at_us = 0  # ejected: no attempt before
-        self.position_us = DISTANT_PAST_US  # the highest applied position known
+        self.retry_at_us = 0  # no attempt before this time while ejected
+        self.position_us = DISTANT_PAST_US  # highest known applied position
         self.role = Role.UNKNOWN
-        self.role_observed_us = DISTANT_PAST_US  # in a response
+        self.role_observed_us = DISTANT_PAST_US  # last response that named a role
         self.pressure = pressure
-        self.reported_load = 0.0  # as it reports itself, by unit of capacity
+        self.reported_load = 0.0  # from its load report, per unit of capacity
         self.load_reported_us = DISTANT_PAST_US
         self.slow_start = TokenBucket(slow_start_tokens, now_us)
-        self.checked_us = DISTANT_PAST_US  # its last health check began
+        self.checked_us = DISTANT_PAST_US  # start of its last health check
         self.passed_check_us = DISTANT_PAST_US
 
     def update(self, info: Endpoint, now_us: int) -> bool:
-        """Take over a later entry of the list. True where the endpoint's process has restarted."""
+        """Apply a newer list entry. Return True if the endpoint's process has restarted."""
         restarted = info.started_us > self.info.started_us
         if info.readiness is not self.info.readiness:
             self.readiness_changed_us = now_us
@@ -71,7 +71,7 @@
         return restarted
 
     def shift_start(self, shift_us: int) -> None:
-        """The list's time of its start lies `shift_us` later than was thought."""
+        """Move the listed start time by `shift_us` after an adjustment of the endpoints' clock."""
         if not self.info.started_us:
             return
         if self.warming_since_us == self.info.started_us:
@@ -79,17 +79,17 @@
         self.info = replace(self.info, started_us=self.info.started_us + shift_us)
 
     def restart_slow_start(self, now_us: int) -> None:
-        """Its process has started anew, though no list says so yet."""
+        """Restart slow start for a process that restarted before the endpoint list shows it."""
         self.warming_since_us = max(self.warming_since_us, now_us)
         self.slow_start.refilled_us = now_us
 
     def clear_ejection(self) -> None:
-        """Give it attempts again."""
+        """Make the endpoint eligible for attempts again."""
         self.ejected = False
         self.down_since_us = 0
 
     def eject(self, now_us: int) -> None:
-        """Give it no attempts until a backoff is over; failing after that one doubles the next."""
+        """Eject the endpoint until its backoff ends; a failure after that doubles the next backoff."""
         if not self.ejected:
             self.backoff.reset()
         elif now_us >= self.retry_at_us:
@@ -98,7 +98,7 @@
         self.retry_at_us = now_us + self.backoff.pause_us
 
     def restart(self, now_us: int, srtt_us: float, slow_start_tokens: float) -> None:
-        """Forget response times and failures, and warm up again."""
+        """Reset response times and failures, and restart slow start."""
         self.warming_since_us = max(self.warming_since_us, self.info.started_us)
         self.srtt_us = srtt_us
         self.has_responded = False
@@ -108,21 +108,21 @@
         self.retry_at_us = now_us
 
     def observe_response_time(self, response_us: int, smoothing: float) -> None:
-        """Smooth the response time; the first one counts alone. `smoothing` is the weight of the old one."""
+        """Update srtt, which the first sample replaces. `smoothing` is the weight of the previous srtt."""
         smoothed_us = smoothing * self.srtt_us + (1 - smoothing) * response_us
         self.srtt_us = smoothed_us if self.has_responded else float(response_us)
         self.has_responded = True
 
     def observe_response(self, now_us: int) -> None:
-        """Take note that it responded at all."""
+        """Record that the endpoint responded, whatever the outcome."""
         self.consecutive_losses = 0
         self.last_response_us = now_us
 
     def observe_failure(self, now_us: int, penalty: float, limit_us: float) -> None:
-        """Raise the smoothed response time by a factor, and count against the success rate."""
+        """Multiply srtt by a penalty, up to a limit, and record a failure in the success rate."""
         self.srtt_us = min(self.srtt_us * penalty, limit_us)
         self.success_rate.observe(now_us, succeeded=False)
 
     def observe_position(self, position_us: int, now_us: int) -> None:
-        """Take over an applied position; it never goes back, nor ahead of the clock."""
+        """Record an applied position, which never decreases and never exceeds the clock."""
         self.position_us = max(self.position_us, min(position_us, now_us))
--- a/juniperreel/routing/loop.py
+++ b/juniperreel/routing/loop.py
@@ -1,7 +1,7 @@
-"""The loop that feeds one router: a queue of host events, the router's timers, and its actions carried out.
+"""The event loop of one router: queues host events, manages the router's timers and executes its actions.
 
-Does no I/O and decides nothing. A host enqueues what happened, calls `process_batch` when something is due,
-and implements the abstract methods, which carry out the router's actions.
+Does no I/O and makes no routing decisions. A host enqueues events, calls `process_batch` when something is
+due, and implements the abstract methods, which execute the router's actions.
 """
 
 from __future__ import annotations
@@ -28,19 +28,20 @@
     TimerFired,
 )
 
-STALL_US = 150_000  # a timer this late is reported to `on_stall`; what to make of it is the router's decision
+STALL_US = 150_000  # later timers are reported to `on_stall`; the router decides how to react
 
 HostEvent = TypeVar("HostEvent")
 
 
 class RouterLoop(ABC, Generic[HostEvent]):
-    """Owns one router, its timers and the queue in front of it.
+    """Owns one router, its timers and its event queue.
 
-    `HostEvent` is what the host enqueues. Times and durations are microseconds on the host's clock.
+    `HostEvent` is the type of events that the host enqueues. Times and durations are in microseconds on the
+    host's clock.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start a router. Raises ValueError for settings that no router can follow."""
+        """Create the router. Raises ValueError for invalid settings."""
         self.router = Router(settings, seed)
         self.queue: list[HostEvent] = []
         self._timers: list[tuple[int, int]] = []  # heap of (due, key)
@@ -49,18 +50,18 @@
         """Add an event to the next batch.
 
         The queue needs no bound of its own: every event belongs to an open request, an attempt, a health
-        check or the endpoint list, and each of those is bounded.
+        check or the endpoint list, and the number of each is bounded.
         """
         self.queue.append(event)
 
     def next_timer_us(self) -> int | None:
-        """When the router's next timer is due, or None where none is set."""
+        """Return when the router's next timer is due, or None if none is set."""
         return self._timers[0][0] if self._timers else None
 
     def process_batch(self, now: int) -> bool:
-        """Hand the router all queued events, then its due timers, and carry out its actions.
+        """Pass all queued events and then the due timers to the router, and execute its actions.
 
-        Returns False where there was nothing to hand over.
+        Returns False if there was nothing to process.
         """
         host_events = self.queue
         self.queue = []
@@ -73,10 +74,10 @@
         return True
 
     def _handle(self, events: list[Event], now: int) -> list[Action]:
-        """The router's actions on these events, all but those on which it raises.
+        """Return the router's actions for these events, skipping events on which it raises.
 
-        One request on which the policy raises must not end the program, nor what others are owed: what the
-        events before it led to is carried out, and the events behind it are handled.
+        One request on which the policy raises must neither end the program nor affect other requests: actions
+        of the events before it are kept, and the events after it are handled.
         """
         actions: list[Action] = []
         while True:
@@ -121,7 +122,7 @@
             case Log(message):
                 self.log_message(message)
 
-    # Implemented by the host.
+    # Methods implemented by the host.
 
     @abstractmethod
     def router_events(self, host_events: list[HostEvent], now: int) -> list[Event]:
@@ -129,7 +130,7 @@
 
     @abstractmethod
     def send(self, request: str, endpoint: str, timeout_us: int, now: int) -> None:
-        """Start the request's next attempt; a time-out of 0 lasts until the client gives up."""
+        """Start the request's next attempt; a time-out of 0 means none but the client's."""
 
     @abstractmethod
     def cancel(self, request: str, attempt: int) -> None:
@@ -137,19 +138,19 @@
 
     @abstractmethod
     def reject(self, request: str, retry_after_us: int, now: int) -> None:
-        """Answer the request as rejected; 0 gives no retry-after hint."""
+        """Answer that the request was rejected; a `retry_after_us` of 0 gives no hint."""
 
     @abstractmethod
     def fail(self, request: str) -> None:
-        """Answer the request as failed with unknown effect."""
+        """Answer that the request failed and that its effect is unknown."""
 
     @abstractmethod
     def start_health_check(self, endpoint: str) -> None:
-        """Ask the endpoint for its load report."""
+        """Request the endpoint's load report."""
 
     @abstractmethod
     def subscribe(self, enabled: bool) -> None:
-        """Open the watch of the endpoint list anew, or end it."""
+        """Reopen the watch of the endpoint list, or close it."""
 
     @abstractmethod
     def fetch_endpoint_list(self) -> None:
@@ -157,12 +158,12 @@
 
     @abstractmethod
     def log_message(self, message: str) -> None:
-        """Write a line of the router's to the log."""
+        """Write a message of the router to the log."""
 
     @abstractmethod
     def on_stall(self, late_us: int) -> None:
-        """A timer of the router was processed this late: the event loop stalled."""
+        """Handle an event loop stall: a timer of the router was processed this late."""
 
     @abstractmethod
     def on_policy_error(self, events: Sequence[Event], error: Exception) -> None:
-        """The router raised on these events; whatever they ask for must still be answered."""
+        """Handle events on which the router raised; their requests must still be answered."""
--- a/juniperreel/routing/pressure.py
+++ b/juniperreel/routing/pressure.py
@@ -1,6 +1,6 @@
-"""Pressure: how much slower than their latency objective responses are, by endpoint, group and role.
+"""Pressure: the mean of response time over latency objective, by endpoint, group and role.
 
-A measurement: it decides nothing, and its constants are arguments.
+Measures without policy decisions; tuning constants are arguments.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class PressureTable:
-    """Owns the pressure of all replicas and all primaries; endpoints and groups hold their own."""
+    """Holds the pressure of all replicas and of all primaries; endpoints and groups hold their own."""
 
     def __init__(self, state: RouterState, min_weight: float, samples: int) -> None:
-        """Take a level for known from `min_weight` recent samples on; `samples` is what a mean is made of."""
+        """Use a level from `min_weight` recent samples on; `samples` is the sample count of a mean."""
         self._state = state
         self._min_weight = min_weight
         self._samples = samples
@@ -22,21 +22,21 @@
         self._all_primaries = state.new_pressure()
 
     def observe(self, endpoint: EndpointState, sample: float) -> None:
-        """Count a response time over objective, for the endpoint and those like it."""
+        """Add a sample to the pressure of the endpoint, its group and its role."""
         for level in self._levels(endpoint):
             level.observe(self._state.now_us, sample)
 
     def value(self, endpoint: EndpointState) -> float:
-        """An endpoint's own; where it had few responses lately, that of its like in its group, or of all."""
+        """Return the endpoint's own pressure, or with few recent samples that of its group or role."""
         levels = self._levels(endpoint)
         known = [level for level in levels if level.weight(self._state.now_us) >= self._min_weight]
         level = known[0] if known else levels[-1]
         return self.with_overdue(endpoint, level.value(self._state.now_us))
 
     def with_overdue(self, endpoint: EndpointState, level: float) -> float:
-        """Count what is in flight already longer than responses took as a response of that time.
+        """Count attempts in flight for longer than `level` as responses of their current age.
 
-        Responses tell of a queue only once they have been through it.
+        Responses alone show a queue only after they have passed through it.
         """
         attempts = endpoint.in_flight.values()
         ages = [(self._state.now_us - a.sent_us) / a.latency_objective_us for a in attempts]
@@ -44,7 +44,7 @@
         return (level * self._samples + sum(overdue)) / (self._samples + len(overdue))
 
     def has_primary_samples(self) -> bool:
-        """Whether primaries in general had enough recent responses."""
+        """Whether all primaries together have enough recent samples."""
         return self._all_primaries.weight(self._state.now_us) >= self._min_weight
 
     def _levels(self, endpoint: EndpointState) -> list[DecayingMean]:
--- a/juniperreel/routing/router.py
+++ b/juniperreel/routing/router.py
@@ -1,9 +1,9 @@
-"""The router: the events of one moment in, actions out. Hands each event to the parts of the policy.
+"""The router: turns a batch of events into actions by passing each event to the policy components.
 
-Composes the parts and has no rule of its own. A read's replica is drawn with probability proportional to
-1/srtt among those whose known log position satisfies the read; all else guards that draw or covers what it
-leaves open. One router shares nothing with others, draws from its own seed and knows only the time of its
-batch.
+Combines the components and has no rules of its own. The replica for a read is drawn with probability
+proportional to 1/srtt among those whose known log position satisfies the read; everything else protects that
+draw or handles the cases it does not cover. A router shares no state with others, uses its own random seed
+and knows no time other than that of the batch.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 
 class Router:
-    """One process's routing: `handle` takes the events of one moment and returns what to do."""
+    """The router of one process: `handle` takes a batch of events and returns the resulting actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Compose the parts. Raises ValueError for settings that no router can follow."""
+        """Create the policy components. Raises ValueError for invalid settings."""
         check_settings(settings)
         self.policy = build_policy(settings, seed)
         self.state = self.policy.state
@@ -49,14 +49,15 @@
         self.position_checks = PositionChecker(self.policy, self.selection)
         self.dispatcher = Dispatcher(self.policy, self.position_checks)
         self._tick = TickTimer()
-        self.handled_events = 0  # by `handle`; where it raised, the event of this index did
+        self.handled_events = 0  # count in the current batch; if `handle` raises, index of the failing event
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Take in all events since the last call, and return the actions they lead to.
+        """Process all events since the last call, and return the resulting actions.
 
-        An event loop that stalled finds silence and late responses of its own making: `RouterState.stalled`
-        tells the parts so. Clients that disconnected come first, so that no outcome leads to an attempt for
-        them; the timer comes last, so that what arrived is learned before anything is judged.
+        After an event loop stall, missing and late responses may be caused by the stall itself:
+        `RouterState.stalled` tells the components so. Client disconnects are processed first, so that no
+        outcome triggers another attempt for them; timers are processed last, so that decisions use everything
+        that has arrived.
         """
         state = self.state
         state.now_us = max(state.now_us, now_us)
@@ -99,16 +100,16 @@
             case EndpointClockAdjusted(shift_us):
                 self.state.adjust_endpoint_clock(shift_us)
             case ClientDisconnected() | TimerFired():
-                pass  # handled before and after all others
+                pass  # handled before and after all other events
 
     def _on_disconnected(self, name: str) -> None:
-        """Cancel what nobody waits for: clients that leave and retry would double the endpoints' work."""
+        """Cancel the client's attempts: clients that disconnect and retry would double the load."""
         request = self.state.requests[name]
         self.state.cancel_attempts(request)
         self.state.finish(request)
 
     def _on_stream_started(self, event: StreamStarted) -> None:
-        """From its first byte on the response is the client's: no retry, and no other answer."""
+        """Finish the request: once the first byte was forwarded, no retry or other answer is possible."""
         request = self.state.requests.get(event.request)
         if request is not None:
             self.state.finish(request)
@@ -120,7 +121,7 @@
             request.request = replace(request.request, deadline_us=deadline_us)
 
     def _on_request(self, event: Request) -> None:
-        """Take in a new request; one that is known goes on as it is."""
+        """Start a new request; a duplicate id is ignored."""
         if event.id in self.state.requests:
             return
         if not 0 <= event.class_index < len(self.state.settings.classes):
@@ -159,7 +160,7 @@
         self.policy.primaries.observe_report(endpoint, report)
 
     def _process_queues(self, batch: Sequence[Event]) -> None:
-        """Look at queued requests again when the timer fired or a health check has ended."""
+        """Dispatch queued requests when the timer has fired or a health check has ended."""
         fired = any(isinstance(event, TimerFired) and self._tick.is_current(event.key) for event in batch)
         if fired:
             self._tick.clear()
--- a/juniperreel/routing/sessions.py
+++ b/juniperreel/routing/sessions.py
@@ -1,4 +1,4 @@
-"""The last commits of sessions, for the reads of those sessions."""
+"""Latest commits by session, which reads of the session must observe."""
 
 from __future__ import annotations
 
@@ -7,17 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EvictedSession:
-    """A session that is not remembered any more."""
+    """A session that was evicted from the table."""
 
     group: int
     commit_us: int
 
 
 class SessionTable:
-    """The last commit of each session, least recently written first; bounded in number and age."""
+    """The latest commit of each session, least recently written first; bounded in size and age."""
 
     def __init__(self, max_sessions: int, ttl_us: int) -> None:
-        """Start empty."""
         self._max_sessions = max_sessions
         self._ttl_us = ttl_us
         self._commits: dict[tuple[int, str | None], int] = {}
@@ -26,19 +25,19 @@
         return len(self._commits)
 
     def commit_us(self, key: tuple[int, str | None]) -> int | None:
-        """The session's last commit, or None if it is not remembered."""
+        """Return the session's latest commit, or None if the session is not in the table."""
         return self._commits.get(key)
 
     def record(self, key: tuple[int, str | None], commit_us: int) -> None:
-        """Remember a commit; a session's commits never go back."""
+        """Record a commit; a session's commit time never decreases."""
         self._commits[key] = max(commit_us, self._commits.pop(key, commit_us))
 
     def clear(self) -> None:
-        """Forget all sessions."""
+        """Remove all sessions."""
         self._commits.clear()
 
     def evict_one(self, now_us: int) -> EvictedSession | None:
-        """Forget the oldest session if there are too many, or it is too old."""
+        """Evict and return the oldest session if the table is too large or the session has expired."""
         if not self._commits:
             return None
         oldest = next(iter(self._commits))
--- a/juniperreel/routing/settings_check.py
+++ b/juniperreel/routing/settings_check.py
@@ -1,4 +1,4 @@
-"""Checks that a router can follow its settings."""
+"""Validation of the router's settings."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 
 
 class InvalidSettingError(ValueError):
-    """A setting has a value that no router can follow."""
+    """A setting is out of range."""
 
     def __init__(self, field: str, value: object) -> None:
-        """Name the field and its value."""
         super().__init__(f"{field}: must not be {value}")
         self.field = field
         self.value = value
--- a/juniperreel/routing/state.py
+++ b/juniperreel/routing/state.py
@@ -1,7 +1,7 @@
-"""What one router believes of endpoints, groups and requests, shared by the parts of its policy.
+"""One router's view of endpoints, groups and requests, shared by the components of its policy.
 
-Plain records and their upkeep: no decision and no tuned value. Times and log positions are microseconds on
-the router's clock.
+Plain records and their updates, without policy decisions or tuning parameters. Times and log positions are in
+microseconds on the router's clock.
 """
 
 from __future__ import annotations
@@ -39,22 +39,22 @@
     StartHealthCheck,
 )
 
-COMMIT_ROUNDING_US = 1_000  # commit times come in whole milliseconds
+COMMIT_ROUNDING_US = 1_000  # commit times are reported in whole milliseconds
 
 NOT_EXECUTED = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT, Outcome.INELIGIBLE)
-PRIMARY_ONLY = (Consistency.WRITE, Consistency.FRESH)  # only the primary serves these
+PRIMARY_ONLY = (Consistency.WRITE, Consistency.FRESH)  # served by the primary only
 
 
 @dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt as its request's record has it."""
+    """An attempt in flight, as recorded for its request."""
 
     sent_us: int
     endpoint: EndpointState
 
 
 class RequestState:
-    """A request that the router owes an answer, or that still has an attempt in flight."""
+    """A request that has no final answer yet, or still has an attempt in flight."""
 
     def __init__(
         self,
@@ -64,7 +64,6 @@
         useful_until_us: int,
         queue_deadline_us: int,
     ) -> None:
-        """Start without attempts."""
         self.id = request.id
         self.request = request
         self.request_class = request_class
@@ -74,33 +73,32 @@
         self.is_write = self.consistency is Consistency.WRITE
         self.primary_only = self.consistency in PRIMARY_ONLY
         self.received_us = now_us
-        self.useful_until_us = useful_until_us  # a response is worth little after
-        self.queue_deadline_us = queue_deadline_us  # unsent, it is not queued beyond
+        self.useful_until_us = useful_until_us  # a later response is worth little
+        self.queue_deadline_us = queue_deadline_us  # limit of queueing while unsent
         self.queued_until_us = now_us
-        self.required_position_us = DISTANT_PAST_US  # that a replica must have applied
-        self.primary_required = False  # no replica's position is enough
+        self.required_position_us = DISTANT_PAST_US  # position that a replica must have applied
+        self.primary_required = False  # no replica position is sufficient
         self.attempt_count = 0
         self.position_checks = 0
         self.error_count = 0
         self.in_flight: dict[int, SentAttempt] = {}
-        self.first_execution_us: int | None = None  # send of the first attempt that may have run
+        self.first_execution_us: int | None = None  # send time of the first possible execution
         self.executed_on: Endpoint | None = None
         self.avoided_endpoint: str | None = None
-        self.blamed_endpoints: list[
-            EndpointState
-        ] = []  # responded with an error; at fault if another serves it
+        # Endpoints that responded with an error; at fault if another endpoint serves the request.
+        self.blamed_endpoints: list[EndpointState] = []
         self.reached_endpoint = False
-        self.pressure = 0.0  # on the endpoint that was chosen for it
+        self.pressure = 0.0  # on the endpoint chosen for it
         self.finished = False
 
     @property
     def deadline_us(self) -> int:
-        """When the answer is due; it may have been shortened."""
+        """When the answer is due; may have been shortened since the request arrived."""
         return self.request.deadline_us
 
     @property
     def session_key(self) -> tuple[int, str | None]:
-        """Sessions are kept by group."""
+        """Key of the session table: sessions are tracked per group."""
         return (self.request.group, self.request.session)
 
 
@@ -111,18 +109,17 @@
     """A replication group."""
 
     def __init__(self, pressure: DecayingMean) -> None:
-        """Start without endpoints."""
         self.endpoints: list[EndpointState] = []  # by id
         self.primary: EndpointState | None = None
         self.listed_primary: EndpointState | None = None
         self.queued: dict[str, RequestState] = {}
         self.pressure = pressure  # of its replicas
-        self.session_watermark_us = DISTANT_PAST_US  # commits of sessions that are not remembered any more
+        self.session_watermark_us = DISTANT_PAST_US  # latest commit of evicted sessions
 
 
 @dataclass(frozen=True, slots=True)
 class EstimatorFactory:
-    """Makes the estimators of new records, with the policy's parameters; `success_rate` takes the time."""
+    """Creates estimators with the policy's parameters; `success_rate` takes the current time."""
 
     pressure: Callable[[], DecayingMean]
     success_rate: Callable[[int], SuccessRate]
@@ -130,7 +127,7 @@
 
 
 class RouterState:
-    """Tables, clock reading and random source of one router, and the actions of the current batch."""
+    """Tables, current time and random source of one router, and the actions of the current batch."""
 
     def __init__(
         self,
@@ -143,33 +140,33 @@
         log_interval_us: int,
         estimator_factory: EstimatorFactory,
     ) -> None:
-        """Start without endpoints and requests; `response_times` is by class."""
+        """Create empty tables; `response_times` is indexed by class."""
         self.settings = settings
         self.random = random.Random(seed)
         self.now_us = 0
-        self.stalled = False  # the event loop was late, so that silence may be of its own making
+        self.stalled = False  # the event loop was late, which may itself explain missing responses
         self.actions: list[Action] = []
         self.endpoints: dict[str, EndpointState] = {}
         self.groups: dict[int, GroupState] = {}
         self.requests: dict[str, RequestState] = {}
         self.response_times = response_times
-        self.mean_load = mean_load  # of all endpoints' reports, by unit of capacity
+        self.mean_load = mean_load  # of all endpoints' reports, per unit of capacity
         self.sessions = sessions
         self._log_throttle = LogThrottle(log_interval_us)
         self._estimator_factory = estimator_factory
 
     def emit(self, action: Action) -> None:
-        """Add an action to the current batch's."""
+        """Add an action to the current batch."""
         self.actions.append(action)
 
     def log(self, event: str, **fields: object) -> None:
-        """Log an event with its facts, at most once in a while."""
+        """Log an event with its fields, rate limited per distinct message."""
         message = " ".join([event, *(f"{name}={value}" for name, value in fields.items())])
         if self._log_throttle.passes(message, self.now_us):
             self.emit(Log(message))
 
     def group(self, number: int) -> GroupState:
-        """The group's record, made when it is first asked for."""
+        """Return the group's record, creating it on first use."""
         group = self.groups.get(number)
         if group is None:
             group = GroupState(self.new_pressure())
@@ -177,30 +174,30 @@
         return group
 
     def new_pressure(self) -> DecayingMean:
-        """Pressure without samples."""
+        """Create a pressure estimator without samples."""
         return self._estimator_factory.pressure()
 
     def group_of(self, request: RequestState) -> GroupState:
-        """The group that a request is for."""
+        """Return the group that a request is for."""
         return self.group(request.request.group)
 
     def group_with(self, endpoint: EndpointState) -> GroupState:
-        """The group that an endpoint serves."""
+        """Return the group that an endpoint serves."""
         return self.group(endpoint.info.group)
 
     def response_times_of(self, request: RequestState) -> ResponseTimes:
-        """The response times of the request's class."""
+        """Return the response times of the request's class."""
         return self.response_times[request.request.class_index]
 
     def start_health_check(self, endpoint: EndpointState) -> None:
-        """Ask the endpoint for its load report."""
+        """Request the endpoint's load report."""
         endpoint.checked_us = self.now_us
         self.emit(StartHealthCheck(endpoint.info.id))
 
     # Requests and their attempts.
 
     def observe_execution(self, request: RequestState, attempt: SentAttempt, outcome: Outcome) -> None:
-        """Remember whether an attempt reached an endpoint, and the first one that may have been executed."""
+        """Record whether an attempt reached an endpoint, and the first one that may have been executed."""
         if outcome not in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
             request.reached_endpoint = True
         if outcome not in NOT_EXECUTED and request.first_execution_us is None:
@@ -208,7 +205,7 @@
             request.executed_on = attempt.endpoint.info
 
     def queue(self, request: RequestState) -> None:
-        """Keep a request until its endpoint, or what is known of it, changes."""
+        """Queue a request until its endpoint, or what is known of it, changes."""
         self.group_of(request).queued[request.id] = request
 
     def start_attempt(self, request: RequestState, endpoint: EndpointState, timeout_us: int) -> None:
@@ -220,30 +217,30 @@
         self.emit(Send(request.id, endpoint.info.id, timeout_us))
 
     def end_attempt(self, request: RequestState, event: AttemptEnded) -> SentAttempt:
-        """Take an attempt out of both records."""
+        """Remove an attempt from the records of its request and endpoint."""
         attempt = request.in_flight.pop(event.attempt)
         attempt.endpoint.in_flight.pop((event.request, event.attempt), None)
         return attempt
 
     def cancel_attempt(self, request: RequestState, number: int) -> None:
-        """Cancel one attempt; its end is still owed."""
+        """Cancel one attempt; its `AttemptEnded` must still follow."""
         self.emit(Cancel(request.id, number))
 
     def cancel_attempts(self, request: RequestState) -> None:
-        """Cancel what an open request has in flight, where the endpoints allow it."""
+        """Cancel the attempts of an open request, where cancellation is enabled."""
         if self.settings.cancellation and not request.finished:
             for attempt in request.in_flight:
                 self.cancel_attempt(request, attempt)
 
     def finish(self, request: RequestState) -> None:
-        """No answer is owed any more; the record goes with the last attempt."""
+        """Mark a request as answered; its record is removed with its last attempt."""
         request.finished = True
         self.group_of(request).queued.pop(request.id, None)
         if not request.in_flight:
             self.requests.pop(request.id, None)
 
     def reject(self, request: RequestState) -> None:
-        """Answer that the request was rejected, with the longest retry-after hint where hints are allowed."""
+        """Answer that the request was rejected, with the maximum retry-after hint if hints are enabled."""
         hint_us = self.settings.max_retry_after_us if self.settings.retry_after_hints else 0
         self.emit(Reject(request.id, hint_us))
         self.cancel_attempts(request)
@@ -256,7 +253,7 @@
         self.finish(request)
 
     def wake_position_checks(self, group: GroupState) -> None:
-        """Have reads that wait for a position check look again at once."""
+        """Make reads that wait for a position check due for dispatch at once."""
         for request in group.queued.values():
             if request.position_checks:
                 request.queued_until_us = min(request.queued_until_us, self.now_us)
@@ -264,14 +261,14 @@
     # Sessions.
 
     def session_commit_us(self, request: RequestState) -> int:
-        """The last commit of the request's session; its group's watermark where it is not remembered."""
+        """Return the session's latest commit, or its group's watermark if the session is not in the table."""
         commit_us = self.sessions.commit_us(request.session_key)
         return self.group_of(request).session_watermark_us if commit_us is None else commit_us
 
     def record_commit(self, request: RequestState, commit_us: int) -> None:
-        """Remember a commit of the request's session.
+        """Record a commit of the request's session.
 
-        New sessions come all day: the oldest are forgotten, and their commits become the group's watermark.
+        To bound the table, the oldest sessions are evicted and their commits raise the group's watermark.
         """
         self.sessions.record(request.session_key, commit_us)
         while (evicted := self.sessions.evict_one(self.now_us)) is not None:
@@ -279,7 +276,7 @@
             group.session_watermark_us = max(group.session_watermark_us, evicted.commit_us)
 
     def writes_in_flight(self, request: RequestState) -> list[SentAttempt]:
-        """The attempts of writes of the request's session."""
+        """Return the attempts in flight of writes of the request's session."""
         writes = [other for other in self.requests.values() if other.is_write]
         own = [write for write in writes if write.session_key == request.session_key]
         return [attempt for write in own for attempt in write.in_flight.values()]
@@ -287,10 +284,10 @@
     # Observations.
 
     def observe_positions(self, request: RequestState, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Take over the endpoint's position and the session's commit from the end of an attempt.
+        """Record the endpoint's position and the session's commit at the end of an attempt.
 
-        A commit time is rounded up, so that the position it shows is a little lower. A write that may have
-        been executed and got no response counts as committed by now.
+        Commit times are rounded up, so the position they prove is slightly lower. A write without a response
+        that may have been executed counts as committed now.
         """
         if event.position_us is not None:
             rounding_us = COMMIT_ROUNDING_US if request.is_write else 0
@@ -302,14 +299,14 @@
     def observe_response_time(
         self, request: RequestState, endpoint: EndpointState, response_us: int, smoothing: float
     ) -> None:
-        """Take over a response time for its endpoint and its class."""
+        """Record a response time for its endpoint and its class."""
         endpoint.observe_response_time(response_us, smoothing)
         self.response_times_of(request).observe(response_us)
 
     def observe_load_report(
         self, endpoint: EndpointState, report: LoadReport | None, min_capacity: float
     ) -> None:
-        """Take over what an endpoint reports of its position, and of its work by unit of capacity."""
+        """Record the position that an endpoint reports, and its load per unit of capacity."""
         if report is None:
             return
         if report.position_us is not None:
@@ -321,9 +318,9 @@
             self.mean_load.observe(endpoint.reported_load)
 
     def adjust_endpoint_clock(self, shift_us: int) -> None:
-        """Times of endpoints lie `shift_us` later than was thought: forget what was compared with them.
+        """Correct endpoint times by `shift_us`, and discard state that was compared with them.
 
-        Positions are learned again, and reads of sessions need what was committed up to now.
+        Positions must be observed again, and session reads require all commits up to now.
         """
         for endpoint in self.endpoints.values():
             endpoint.position_us = DISTANT_PAST_US
@@ -333,13 +330,13 @@
             group.session_watermark_us = self.now_us
 
     def ready_endpoints(self) -> list[EndpointState]:
-        """Those that the list names as ready."""
+        """Return the endpoints that the list shows as ready."""
         return [e for e in self.endpoints.values() if e.info.readiness is Readiness.READY]
 
     # Endpoints.
 
     def add_endpoint(self, info: Endpoint, srtt_us: float, slow_start_tokens: float) -> EndpointState:
-        """Start the record of an endpoint that the list names for the first time."""
+        """Create the record of an endpoint that is new in the list."""
         endpoint = EndpointState(
             info,
             self.now_us,
@@ -353,20 +350,20 @@
         return endpoint
 
     def unlisted_endpoints(self, listed: Iterable[Endpoint]) -> list[EndpointState]:
-        """Known endpoints, not removed yet, that a complete list does not name."""
+        """Return known endpoints, not yet removed, that are missing from a complete list."""
         names = {info.id for info in listed}
         known = [e for e in self.endpoints.values() if e.info.id not in names]
         return [endpoint for endpoint in known if endpoint.info.readiness is not Readiness.REMOVED]
 
     def forget_removed_endpoints(self, ttl_us: int) -> None:
-        """Drop endpoints that left the list longer than `ttl_us` ago and have no attempt in flight."""
+        """Delete endpoints that left the list more than `ttl_us` ago and have no attempt in flight."""
         for endpoint in list(self.endpoints.values()):
             removed = endpoint.info.readiness is Readiness.REMOVED
             if removed and not endpoint.in_flight and self.now_us - endpoint.readiness_changed_us > ttl_us:
                 del self.endpoints[endpoint.info.id]
 
     def rebuild_groups(self, include_removed: bool) -> None:
-        """Sort the known endpoints into their groups, and let go of primaries that are forgotten."""
+        """Assign known endpoints to their groups, and clear primaries that are no longer known."""
         for group in self.groups.values():
             group.endpoints = []
             group.primary = self._if_still_known(group.primary)
--- a/juniperreel/routing/types.py
+++ b/juniperreel/routing/types.py
@@ -1,7 +1,7 @@
 """Settings, events and actions of the router.
 
-Times, durations and log positions are whole microseconds on the host's clock. A position is rounded
-down and a commit time up, so that comparing the two errs on the safe side. Nothing here decides anything.
+Times, durations and log positions are whole microseconds on the host's clock. Positions are rounded down and
+commit times up, so that comparing the two errs on the safe side.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
-    IDEMPOTENT = "repeatable"  # nothing more than the first
-    KEYED = "keyed"  # nothing more, where the endpoint recognises the request's idempotency key
-    NON_IDEMPOTENT = "once"  # its effect a second time
+    IDEMPOTENT = "repeatable"  # no further effect
+    KEYED = "keyed"  # no further effect where the endpoint recognises the idempotency key
+    NON_IDEMPOTENT = "once"  # takes effect a second time
 
 
 class KeyScope(Enum):
-    """Which endpoints recognise the idempotency key of a request that another one has executed."""
+    """Which endpoints recognise the idempotency key of a request that another endpoint executed."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,25 +27,25 @@
 
 
 class Consistency(Enum):
-    """How recent the data must be that a request class is served from."""
+    """How recent the data that serves a request class must be."""
 
-    WRITE = "write"  # a write: the primary alone
-    FRESH = "fresh"  # every committed write: the primary alone
-    SESSION = "session"  # at least the writes of the request's own session
+    WRITE = "write"  # a write: primary only
+    FRESH = "fresh"  # includes every committed write: primary only
+    SESSION = "session"  # includes the writes of the request's own session
     BOUNDED = "bounded"  # at most `RequestClass.max_staleness_us` behind
     ANY = "any"
 
 
 class StalenessGuard(Enum):
-    """What a replica that is too far behind does with a read."""
+    """How a replica that lags too far behind handles a read."""
 
-    OFF = "off"  # serves it from old data
+    OFF = "off"  # serves it from stale data
     REFUSE = "refuse"
-    WAIT = "wait"  # until it has caught up, or a time-out
+    WAIT = "wait"  # until it has caught up or a time-out expires
 
 
 class Readiness(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = "up"
     DRAINING = "draining"
@@ -53,17 +53,17 @@
 
 
 class UpdateKind(Enum):
-    """What an `EndpointUpdate` is, or why there is none."""
+    """The kind of an `EndpointUpdate`, or the reason why a call brought none."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
-    CACHED = "saved"  # a snapshot from before this process started
+    CACHED = "saved"  # a snapshot stored before this process started
     FAILED = "failed"
-    TIMED_OUT = "silent"  # a watch that sent nothing within its wait: broken, though nobody rejected it
+    TIMED_OUT = "silent"  # a watch that sent nothing within its wait time: broken, but not rejected
 
 
 class Role(Enum):
-    """What an endpoint is in its replication group."""
+    """The role of an endpoint in its replication group."""
 
     UNKNOWN = "unknown"
     PRIMARY = "primary"
@@ -77,34 +77,34 @@
     ERROR = "error"
     REJECTED = "rejected"  # not executed: the endpoint is overloaded
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"  # no connection, so not executed
+    UNREACHABLE = "unreachable"  # no connection, therefore not executed
     RESET = "reset"  # the connection broke after the request was sent
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
-    INELIGIBLE = "miss"  # not executed: the endpoint is no primary, or too far behind
+    INELIGIBLE = "miss"  # not executed: the endpoint is not the primary, or lags too far behind
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What requests of one kind ask for, and what serving them is worth."""
+    """The requirements and the priority of one class of requests."""
 
     name: str
     idempotency: Idempotency
     key_scope: KeyScope
-    deduplication_window_us: int  # for how long an idempotency key is recognised
+    deduplication_window_us: int  # how long an idempotency key is recognised
     consistency: Consistency
     max_staleness_us: int
     latency_objective_us: int
     deadline_us: int
     priority_weight: float
-    late_priority_weight: float  # part of the weight that a response after the objective still has
+    late_priority_weight: float  # fraction of the weight left for a response after the objective
     latency_objective_stretch: float = 0.0
     streaming: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its part of the capacity."""
+    """A tenant and its share of the capacity."""
 
     name: str
     capacity_share: float
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What operations cost, as a part of the weight of one request."""
+    """Costs of operations, relative to the weight of one request."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told of its deployment when it starts."""
+    """The deployment settings that a router starts with."""
 
     router_count: int  # in the whole fleet
     zone: int
@@ -139,10 +139,10 @@
     max_retry_after_us: int
     response_grace_us: int
     drain_grace_us: int
-    removed_endpoints_serve: bool  # only draining forbids new requests; leaving the list doesn't
-    slow_start_initial_capacity: float  # part of its capacity that an endpoint has when it starts
+    removed_endpoints_serve: bool  # leaving the list does not forbid new requests; only draining does
+    slow_start_initial_capacity: float  # fraction of its capacity that an endpoint has when it starts
     slow_start_us: int
-    overload_multiple: float  # of its capacity of the moment, at which a warming endpoint fails
+    overload_multiple: float  # of its current capacity, at which a warming endpoint fails
     overload_window_us: int
     must_poll: bool
     poll_interval_us: int
@@ -151,7 +151,7 @@
     requests_carry_session_age: bool
     responses_carry_position: bool
     list_names_primary: bool
-    responses_may_be_lost: bool = False  # a response on its way counts as received, but may never arrive
+    responses_may_be_lost: bool = False  # a response in transit counts as received but may never arrive
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint reports of itself, as old as its last refresh; None where it reports nothing."""
+    """An endpoint's own report, as of its last refresh; None for values that it does not report."""
 
     position_us: int | None = None
     is_primary: bool | None = None
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A message from discovery, or the end of a call to it that brought none."""
+    """An update from discovery, or a discovery call that ended without one."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; `session_age_us`, where carried, is the time since its session's last write."""
+    """A client's request; `session_age_us`, if known, is the time since its session's last write."""
 
     id: str
     class_index: int
@@ -206,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first byte of a streamed response has gone to the client."""
+    """The first byte of a streamed response was forwarded to the client."""
 
     request: str
     attempt: int
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one end of an attempt.
+    """The end of an attempt, reported exactly once.
 
     `position_us` is the endpoint's applied position, or the commit time of a successful write.
     """
@@ -233,14 +233,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for the request's answer any more."""
+    """The client no longer waits for an answer to the request."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineShortened:
-    """An open request must be answered earlier than was said, because its host is shutting down."""
+    """An open request has an earlier deadline, because its host is shutting down."""
 
     request: str
     deadline_us: int
@@ -248,21 +248,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointClockAdjusted:
-    """The host found that times of endpoints lie `shift_us` later on its clock than it said up to now."""
+    """The host corrected its conversion of endpoint times: they are `shift_us` later on its clock."""
 
     shift_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of `SetTimer` is due."""
+    """A timer set by `SetTimer` is due."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The one end of a health check."""
+    """The end of a health check, reported exactly once."""
 
     endpoint: str
     outcome: Outcome
@@ -288,7 +288,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt; a time-out of 0 lasts until the client gives up."""
+    """Start the request's next attempt; a time-out of 0 means none but the client's."""
 
     request: str
     endpoint: str
@@ -297,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt; its end is still owed."""
+    """Cancel an attempt; an `AttemptEnded` must still follow."""
 
     request: str
     attempt: int
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The final answer: nothing took effect that a retry could double; 0 gives no retry-after hint."""
+    """The final answer: a retry is safe; a `retry_after_us` of 0 gives no hint."""
 
     request: str
     retry_after_us: int
@@ -320,7 +320,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` with this key."""
+    """Request a `TimerFired` with this key."""
 
     delay_us: int
     key: int
@@ -328,14 +328,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHealthCheck:
-    """Ask an endpoint for its load report; one `HealthCheckEnded` is owed."""
+    """Request an endpoint's load report; one `HealthCheckEnded` must follow."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open the watch of the endpoint list anew, or end it."""
+    """Reopen the watch of the endpoint list, or close it."""
 
     enabled: bool
 
@@ -347,7 +347,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators' log."""
+    """A message for the operators' log."""
 
     message: str
 
