--- a/tests/routing/router_script.py
+++ b/tests/routing/router_script.py
@@ -1,6 +1,6 @@
-"""Scripts of events for tests of the router: one router, its clock, its timers and what it was sent.
+"""Test harness that drives one router with scripted events, a simulated clock and simulated timers.
 
-Times and durations are whole microseconds, as in the types of the router.
+Times and durations are whole microseconds, as in the router's types.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 SESSION = "session"
 
 BUSY_PRESSURE = 0.6
-BUSY_SAMPLES = 4  # enough that the primary's own pressure counts
+BUSY_SAMPLES = 4  # enough samples for the primary's own pressure to be used
 IDLE_PRESSURE = 0.1
 
 BOUNDED_READ = RequestClass(
@@ -123,12 +123,12 @@
     listed_primary: bool = False,
     started_us: int = 0,
 ) -> Endpoint:
-    """An entry of the endpoint list: ready and warm, if not said otherwise."""
+    """An entry of the endpoint list, ready and warm by default."""
     return Endpoint(name, group, zone, 0, readiness, listed_primary, 1.0, started_us)
 
 
 def classes_with(changed: RequestClass) -> tuple[RequestClass, ...]:
-    """The classes of the tests, with another version of the one that has this name."""
+    """The default classes, with the class of the same name replaced."""
     return tuple(changed if known.name == changed.name else known for known in CLASSES)
 
 
@@ -142,17 +142,17 @@
 
 @dataclass(frozen=True)
 class RecordedAction:
-    """An action, and when the router decided on it."""
+    """An action, and the time at which the router emitted it."""
 
     at_us: int
     action: Action
 
 
 class RouterScript:
-    """Drives one router by events, each call one batch, and records its actions."""
+    """Drives one router with events, one batch per call, and records its actions."""
 
     def __init__(self, seed: int = 1, **settings: Any) -> None:
-        """Start a router; `settings` replace fields of `SETTINGS`."""
+        """Create a router; `settings` override fields of `SETTINGS`."""
         self.settings = replace(SETTINGS, **settings)
         self.router = Router(self.settings, seed)
         self.now_us = START_US
@@ -165,7 +165,7 @@
     # Time.
 
     def process(self, *events: Event) -> list[Action]:
-        """Hand one batch of events to the router; returns its actions."""
+        """Pass one batch of events to the router, and return its actions."""
         self.last_actions = self.router.handle(self.now_us, events)
         for action in self.last_actions:
             self.history.append(RecordedAction(self.now_us, action))
@@ -176,11 +176,11 @@
         return self.last_actions
 
     def advance_clock(self, duration_us: int) -> None:
-        """Let time pass without a call of the router: timers that fall due stay pending."""
+        """Advance the clock without calling the router; due timers stay pending."""
         self.now_us += duration_us
 
     def run_for(self, duration_us: int) -> list[Action]:
-        """Let time pass and fire the timers that fall due; returns what the router did meanwhile."""
+        """Advance the clock, firing due timers, and return the actions emitted meanwhile."""
         end_us = self.now_us + duration_us
         done = len(self.history)
         while self.timers and min(self.timers).due_us <= end_us:
@@ -194,41 +194,41 @@
     # Endpoints.
 
     def update_endpoints(self, *endpoints: Endpoint, kind: UpdateKind = UpdateKind.CACHED) -> None:
-        """The endpoint list arrives, or a change of it."""
+        """Deliver the endpoint list or an update of it."""
         self.process(EndpointUpdate(kind, endpoints))
 
     def start_group(self, *replicas: str) -> None:
-        """List a primary and these replicas, and report their roles and positions."""
+        """List a primary and these replicas, and report their roles and current positions."""
         names = (PRIMARY, *replicas)
         self.update_endpoints(*(endpoint(name, listed_primary=name == PRIMARY) for name in names))
         for name in names:
             self.pass_health_check(name, is_primary=name == PRIMARY)
 
     def pass_health_check(self, name: str, *, is_primary: bool = False, lag_us: int = 0) -> None:
-        """A health check ends with a report of the endpoint's role, and of a position `lag_us` ago."""
+        """End a health check with a report of the endpoint's role and of a position `lag_us` ago."""
         report = LoadReport(self.now_us - lag_us, is_primary)
         self.process(HealthCheckEnded(name, Outcome.OK, MS, report))
 
     def fail_health_check(self, name: str, duration_us: int = MS) -> None:
-        """A health check ends without a connection."""
+        """End a health check whose connection failed."""
         self.process(HealthCheckEnded(name, Outcome.UNREACHABLE, duration_us, None))
 
     def endpoint_state(self, name: str) -> EndpointState:
-        """What the router believes of an endpoint."""
+        """The router's record of an endpoint."""
         return self.router.state.endpoints[name]
 
     def set_srtt(self, name: str, srtt_us: float) -> None:
-        """Have the router believe in this measured response time."""
+        """Set an endpoint's srtt as if it had been measured."""
         state = self.endpoint_state(name)
         state.srtt_us = srtt_us
         state.has_responded = True
 
     def set_position(self, name: str, lag_us: int = 0) -> None:
-        """Have the router believe that the endpoint's applied position is `lag_us` ago."""
+        """Set an endpoint's known applied position to `lag_us` ago."""
         self.endpoint_state(name).position_us = self.now_us - lag_us
 
     def forget_in_flight(self, name: str) -> None:
-        """Have the router believe that nothing is in flight on this endpoint."""
+        """Clear the attempts in flight in an endpoint's record."""
         self.endpoint_state(name).in_flight.clear()
 
     def observe_pressure(self, name: str, pressure: float, samples: int = 1) -> None:
@@ -237,15 +237,15 @@
             self.endpoint_state(name).pressure.observe(self.now_us, pressure)
 
     def make_primary_busy(self) -> None:
-        """Add so much pressure that no read goes to the primary to spare a position check."""
+        """Add enough pressure that no read goes to the primary to avoid a position check."""
         self.observe_pressure(PRIMARY, BUSY_PRESSURE, BUSY_SAMPLES)
 
     def make_primary_idle(self) -> None:
-        """Add a sample of low pressure: the primary is known to have capacity."""
+        """Add a sample of low pressure, so that the primary is known to have capacity."""
         self.observe_pressure(PRIMARY, IDLE_PRESSURE)
 
     def eject_until(self, name: str, retry_at_us: int) -> None:
-        """Have the router believe that the endpoint is ejected and its backoff ends then."""
+        """Mark an endpoint as ejected with a backoff that ends at this time."""
         state = self.endpoint_state(name)
         state.ejected = True
         state.retry_at_us = retry_at_us
@@ -261,9 +261,9 @@
         tenant_index: int = 0,
         deadline_in_us: int | None = None,
     ) -> str:
-        """A client's request arrives; returns its id.
+        """Submit a client's request, and return its id.
 
-        Its deadline is that of its class and its session the one of all tests, if not said otherwise.
+        The deadline defaults to that of the class, and the session of a session class to `SESSION`.
         """
         request_id = f"{self._request_count:016x}"
         self._request_count += 1
@@ -286,7 +286,7 @@
         role: Role = Role.UNKNOWN,
         position_us: int | None = None,
     ) -> list[Action]:
-        """The request's latest attempt ends; success finishes the request, if not said otherwise."""
+        """End the request's latest attempt; by default, success finishes the request."""
         tried = self._endpoints_tried[request]
         if request_finished is None:
             request_finished = outcome is Outcome.OK
@@ -305,26 +305,26 @@
         )
 
     def disconnect_client(self, request: str) -> None:
-        """The client of a request disconnects."""
+        """Disconnect the client of a request."""
         self.process(ClientDisconnected(request))
 
-    # What the router did.
+    # Recorded actions.
 
     def endpoints_tried(self, request: str) -> list[str]:
         """The endpoints that a request was sent to, in order."""
         return list(self._endpoints_tried.get(request, []))
 
     def first_endpoint(self, request: str) -> str:
-        """The endpoint of a request's first attempt; IndexError where it was not sent."""
+        """The endpoint of a request's first attempt; raises IndexError if it was not sent."""
         return self.endpoints_tried(request)[0]
 
     def count_draws(self, request_class: RequestClass, requests: int) -> Counter[str]:
-        """Submit requests that get no response, and count the endpoints of their first attempts."""
+        """Submit requests without ending them, and count the endpoints of their first attempts."""
         submitted = (self.submit_request(request_class) for _ in range(requests))
         return Counter(self.first_endpoint(request) for request in submitted)
 
     def actions_of(self, kind: type[ActionT], request: str | None = None) -> list[ActionT]:
-        """All actions of a kind so far; those of one request if it is named."""
+        """All actions of a kind so far, optionally only those of one request."""
         actions: list[ActionT] = []
         for recorded in self.history:
             action = recorded.action
--- a/tests/routing/simulation.py
+++ b/tests/routing/simulation.py
@@ -1,4 +1,4 @@
-"""A fleet that a router is driven against by random legal events, and what became of each request."""
+"""Randomised simulation of a router against a fleet of endpoints, tracking the result of each request."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 START_US = 50 * SEC
 DRAIN_STEP_US = 100 * MS
-ANSWER_GRACE_US = 420 * MS  # the longest step, and the tick of the router
+ANSWER_GRACE_US = 420 * MS  # the longest step plus the router's tick
 MAX_DRAINING = 3
 
 RESPONSE_PROBABILITY = 0.4
@@ -50,26 +50,26 @@
 
 
 class Fleet:
-    """The endpoints as they really are."""
+    """The true state of the endpoints."""
 
     def __init__(self, now_us: int) -> None:
         self.names = ["a", "b", "c", "d"]
         self.zones = {name: number % 2 for number, name in enumerate(self.names)}
         self.primary = "a"
         self.has_been_primary = {"a"}
-        self.observed_as_replica: set[str] = set()  # since it was primary, as the router was told
+        self.observed_as_replica: set[str] = set()  # reported to the router as replica since last primary
         self.positions_us = dict.fromkeys(self.names, now_us)
         self.lags_us = dict.fromkeys(self.names, 5 * MS)
         self.draining_since_us: dict[str, int] = {}
 
     def replicate(self, now_us: int) -> None:
-        """Let all endpoints apply what their lag allows."""
+        """Advance applied positions, up to each endpoint's lag."""
         for name in self.names:
             lag_us = 0 if name == self.primary else self.lags_us[name]
             self.positions_us[name] = max(self.positions_us[name], now_us - lag_us)
 
     def fail_over(self, successor: str) -> None:
-        """Make another endpoint the primary, or the same one again."""
+        """Make this endpoint the primary; it may be the current one."""
         self.primary = successor
         self.has_been_primary.add(successor)
         self.observed_as_replica.discard(successor)
@@ -79,12 +79,12 @@
         return Role.PRIMARY if name == self.primary else Role.REPLICA
 
     def may_be_taken_for_primary(self, name: str) -> bool:
-        """Whether the router could not know better than to take this endpoint for the primary."""
+        """Whether the router may legitimately consider this endpoint the primary."""
         stepped_down_unobserved = name in self.has_been_primary and name not in self.observed_as_replica
         return name == self.primary or stepped_down_unobserved
 
     def listed(self) -> tuple[Endpoint, ...]:
-        """The endpoint list; it names the first primary for good."""
+        """The endpoint list, which always names the initial primary."""
         return tuple(
             endpoint(
                 name,
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class AttemptInFlight:
-    """An attempt whose end is owed."""
+    """An attempt that has not ended."""
 
     endpoint: str
     sent_us: int
@@ -115,21 +115,21 @@
 
 @dataclass
 class RequestRecord:
-    """A request and what became of it."""
+    """A request and its progress."""
 
     request: Request
     request_class: RequestClass
-    required_position_us: int  # the last commit of its session when it arrived
+    required_position_us: int  # latest commit of its session on arrival
     is_open: bool = True
     attempt_count: int = 0
     first_execution: Execution | None = None
 
 
 class Simulation:
-    """Drives a router by random events, and carries out its actions once they have been checked."""
+    """Drives a router with random events, and checks and executes its actions."""
 
     def __init__(self, seed: int, check: Check, **changes: Any) -> None:
-        """Start a router; `changes` replace fields of its settings, `check` sees each action in turn."""
+        """Create a router; `changes` override its settings, `check` is called with each action."""
         self.check = check
         self.random = random.Random(seed)
         scope = self.random.choice(list(KeyScope))
@@ -145,15 +145,15 @@
         self.health_checks: list[str] = []
 
     def open_requests(self) -> list[RequestRecord]:
-        """Those that have no final answer yet and whose clients wait."""
+        """Requests without a final answer whose clients are still connected."""
         return [record for record in self.requests.values() if record.is_open]
 
     def has_attempt_in_flight(self, request: str) -> bool:
-        """Whether the end of an attempt of this request is owed."""
+        """Whether an attempt of this request has not ended."""
         return any(in_flight == request for in_flight, _ in self.in_flight)
 
     def process(self, events: list[Event]) -> None:
-        """Hand one batch to the router, and carry out its actions, each once it has been checked."""
+        """Pass one batch to the router; check and then execute each of its actions."""
         for action in self.router.handle(self.now_us, events):
             self.check(self, action)
             self.carry_out(action)
@@ -161,7 +161,7 @@
     # Actions.
 
     def carry_out(self, action: Action) -> None:
-        """Take over an action: its effect is a later event."""
+        """Execute an action, whose effect is a later event."""
         match action:
             case SetTimer():
                 self.timers.append(Timer(self.now_us + action.delay_us, action.key))
@@ -173,7 +173,7 @@
                 self.start_attempt(action)
 
     def start_attempt(self, action: Send) -> None:
-        """Take over an attempt, with the time at which it ends at the latest."""
+        """Start an attempt, with the time at which it times out."""
         record = self.requests[action.request]
         timeout_at_us = min(record.request.deadline_us, self.now_us + action.timeout_us)
         attempt = AttemptInFlight(action.endpoint, self.now_us, timeout_at_us)
@@ -183,7 +183,7 @@
     # Events.
 
     def step(self) -> None:
-        """Let some time pass, and hand the router what happened meanwhile in one batch."""
+        """Advance the clock by a random step, and pass the events since then as one batch."""
         self.now_us += self.random.choice([0, 1, 5 * MS, 20 * MS, 90 * MS, 400 * MS])
         self.fleet.replicate(self.now_us)
         observed_as_replica: set[str] = set()
@@ -202,7 +202,7 @@
         self.fleet.observed_as_replica |= observed_as_replica
 
     def drain_step(self) -> None:
-        """Let time pass in which nothing happens but timers and time-outs."""
+        """Advance the clock with no events but timers and time-outs."""
         self.now_us += DRAIN_STEP_US
         events: list[Event] = list(self.due_timers())
         observed_as_replica: set[str] = set()
@@ -213,17 +213,17 @@
         self.fleet.observed_as_replica |= observed_as_replica
 
     def start(self) -> None:
-        """The router gets a cached endpoint list."""
+        """Deliver a cached endpoint list."""
         self.process([EndpointUpdate(UpdateKind.CACHED, self.fleet.listed())])
 
     def due_timers(self) -> list[Event]:
-        """Timers that are due; each fires once."""
+        """Remove the due timers, and return their events."""
         due = [timer for timer in self.timers if timer.due_us <= self.now_us]
         self.timers = [timer for timer in self.timers if timer.due_us > self.now_us]
         return [TimerFired(timer.key) for timer in due]
 
     def ended_attempts(self, observed_as_replica: set[str]) -> list[Event]:
-        """Attempts that time out, and some that end before."""
+        """End attempts that time out, and a random selection of the others."""
         events: list[Event] = []
         for (request, number), attempt in list(self.in_flight.items()):
             timed_out = self.now_us >= attempt.timeout_at_us
@@ -234,7 +234,7 @@
     def end_attempt(
         self, request: str, number: int, timed_out: bool, observed_as_replica: set[str]
     ) -> AttemptEnded:
-        """End an attempt, with a random outcome unless it timed out."""
+        """End an attempt with a random outcome, or as timed out."""
         attempt = self.in_flight.pop((request, number))
         record = self.requests[request]
         outcome = self.random.choice([Outcome.OK] * 5 + [o for o in Outcome if o is not Outcome.TIMEOUT])
@@ -264,12 +264,12 @@
         )
 
     def commit(self, record: RequestRecord) -> int:
-        """Commit a write of the request's session now; returns the commit time."""
+        """Commit a write of the request's session now, and return the commit time."""
         self.commits_us[record.request.session or ""] = self.now_us
         return self.now_us
 
     def ended_health_checks(self) -> list[Event]:
-        """The ends of all health checks, two in three with a load report."""
+        """End all health checks, on average two in three with a load report."""
         events: list[Event] = []
         for name in self.health_checks:
             outcome = self.random.choice([Outcome.OK, Outcome.OK, Outcome.UNREACHABLE])
@@ -281,12 +281,12 @@
         return events
 
     def check_deadlines(self) -> None:
-        """No client waits for long beyond its deadline."""
+        """Assert that no request is open beyond its deadline plus the grace."""
         for record in self.open_requests():
             assert self.now_us <= record.request.deadline_us + ANSWER_GRACE_US
 
     def disconnects(self) -> list[Event]:
-        """Some clients disconnect."""
+        """Disconnect some clients at random."""
         events: list[Event] = []
         for record in self.open_requests():
             if self.random.random() < DISCONNECT_PROBABILITY:
@@ -295,7 +295,7 @@
         return events
 
     def fleet_changes(self, observed_as_replica: set[str]) -> list[Event]:
-        """Now and then a failover, another lag, or an endpoint that drains."""
+        """Occasionally fail over, change a lag or drain an endpoint."""
         draw = self.random.random()
         fleet = self.fleet
         if draw < FAILOVER_THRESHOLD:
@@ -311,11 +311,11 @@
         return []
 
     def new_requests(self) -> list[Event]:
-        """None, one or two new requests."""
+        """Create zero to two requests."""
         return [self.new_request() for _ in range(self.random.choice([0, 1, 2]))]
 
     def new_request(self) -> Request:
-        """A request of any class and tenant, of one of two sessions, with much or little time."""
+        """Create a request with random class, tenant, session and deadline."""
         class_index = self.random.randrange(len(CLASSES))
         session = self.random.choice(["s", "t"])
         request = Request(
--- a/tests/routing/test_crossings.py
+++ b/tests/routing/test_crossings.py
@@ -1,4 +1,4 @@
-"""Events that cross: what becomes known between a request's arrival and its sending, or its answer."""
+"""Race conditions: events that arrive between a request's arrival and its sending or its answer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def script_with_one_replica(**settings: Any) -> RouterScript:
-    """One replica, fresh enough for a read that needs nothing newer than now."""
+    """A router with one replica that has applied everything up to now."""
     script = RouterScript(**settings)
     script.start_group("a")
     return script
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR, Outcome.CANCELLED])
 def test_session_read_after_a_write_that_may_have_been_executed_needs_its_commit(outcome: Outcome) -> None:
-    """The write's response was lost; what it wrote was committed before its attempt ended."""
+    """The write's response was lost, but the write may have been committed before its attempt ended."""
     script = script_with_one_replica()
     write = script.submit_request(WRITE)
     script.advance_clock(300 * MS)
@@ -66,7 +66,7 @@
 ) -> None:
     script = script_with_one_replica(responses_may_be_lost=responses_may_be_lost)
     script.submit_request(WRITE)
-    # No response can have been sent so soon.
+    # No response can have been sent yet.
     assert script.endpoints_tried(script.submit_request(SESSION_READ)) == ["a"]
     script.advance_clock(300 * MS)
     script.set_position("a", lag_us=1)
@@ -77,7 +77,7 @@
 
 
 def test_session_read_retried_after_a_write_of_its_session_needs_the_commit() -> None:
-    """The read's first attempt fails; before the second one its session's write gets its response."""
+    """A write of the session completes between the read's failed first attempt and its retry."""
     script = script_with_one_replica()
     script.set_position("a")
     read = script.submit_request(SESSION_READ)
@@ -122,7 +122,7 @@
 
 
 def test_send_of_a_keyed_repeat_is_confirmed_only_within_the_window_of_its_key() -> None:
-    """A connection that comes up late would carry a repeat that its endpoint takes for a new write."""
+    """On a connection established too late, the endpoint would treat the repeat as a new write."""
     short_window_write = replace(WRITE, deduplication_window_us=1 * SEC)
     script = script_with_one_replica(classes=classes_with(short_window_write))
     write = script.submit_request(WRITE)
@@ -147,7 +147,7 @@
 
 
 def test_send_of_a_request_whose_time_is_up_is_not_confirmed() -> None:
-    """A loop that was held up finds the connection before it finds the deadline."""
+    """A stalled event loop may process the new connection before the deadline."""
     script = script_with_one_replica()
     read = script.submit_request(ANY_READ, deadline_in_us=400 * MS)
     assert script.router.confirm_send(script.now_us + 350 * MS, read, FIRST_ATTEMPT)
@@ -162,7 +162,7 @@
     assert script.router.confirm_send(script.now_us, write, FIRST_ATTEMPT)
     script.router.policy.primaries.observe_role(script.endpoint_state(PRIMARY), Role.REPLICA)
     assert not script.router.confirm_send(script.now_us, fresh_read, FIRST_ATTEMPT)
-    # A write that is found ineligible does no harm.
+    # A write is safe to send: a replica rejects it as ineligible.
     assert script.router.confirm_send(script.now_us, write, FIRST_ATTEMPT)
 
 
@@ -187,7 +187,7 @@
         script.eject_until(name, script.now_us + 60 * SEC)
     queued = script.submit_request(WRITE)
     script.process(DeadlineShortened(queued, script.now_us + 500 * MS))
-    script.process(DeadlineShortened(queued, script.now_us + 900 * MS))  # never longer again
+    script.process(DeadlineShortened(queued, script.now_us + 900 * MS))  # does not extend the deadline
     script.run_for(500 * MS)
     (rejected,) = script.actions_of(Reject, queued)
     assert rejected.request == queued
@@ -195,7 +195,7 @@
 
 
 def test_endpoint_that_restarted_while_others_serve_warms_up_again() -> None:
-    """Listed as the same endpoint with a later start, while others carry work: it must not be rushed."""
+    """The same endpoint is listed with a later start time: it must not get full load at once."""
     script = script_with_one_replica()
     slow_start = script.router.policy.slow_start
     assert slow_start.capacity_fraction(script.endpoint_state("a")) == 1.0
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, and when it is polled."""
+"""Updates and polling of the endpoint list."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
 
 
 def test_watch_that_timed_out_is_opened_again_at_once() -> None:
-    """What a silent watch misses counts as notified.
+    """Updates missed by a silent watch take effect anyway.
 
-    Hundreds of routers that spread their calls over seconds would send to endpoints that drain.
+    If hundreds of routers spread their calls over seconds, they would send to draining endpoints.
     """
     script = RouterScript(must_poll=True, router_count=400)
     script.update_endpoints(endpoint("a"))
@@ -65,10 +65,10 @@
 @pytest.mark.parametrize(
     "must_poll, latest_us",
     [
-        # What discovery has to tell counts as notified 6 s later, and a call may take 1.5 s of it.
+        # Polled updates take effect after 6 s, and a call may take 1.5 s of that.
         pytest.param(True, 4500 * MS, id="polled"),
-        # What the operators' agent learns when discovery is back counts as notified at once: the grace of
-        # drains is all that is left.
+        # Pushed updates take effect as soon as discovery has recovered and the operators' agent has them, so
+        # only the drain grace is left.
         pytest.param(False, 750 * MS, id="pushed"),
     ],
 )
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("failure", [UpdateKind.FAILED, UpdateKind.TIMED_OUT])
 def test_draining_primary_of_a_list_that_comes_late_gets_nothing(failure: UpdateKind) -> None:
-    """Its grace may be over: it counts from when the drain counts as notified."""
+    """Its grace, which starts when the drain takes effect, may have expired."""
     script = RouterScript()
     script.start_group("a")
     script.update_endpoints(kind=UpdateKind.DELTA)
@@ -108,7 +108,7 @@
 
 
 def test_removed_endpoints_after_their_ttl_are_forgotten_and_may_come_back() -> None:
-    """Seen on the soak day: endpoints are replaced for hours, and each stayed in memory."""
+    """Found in the soak scenario: endpoints are replaced for hours, and none was removed from memory."""
     script = RouterScript()
     script.start_group("a", "b")
     for number in range(200):
--- a/tests/routing/test_freshness.py
+++ b/tests/routing/test_freshness.py
@@ -1,4 +1,4 @@
-"""Which log position a read needs, and which endpoints are known to have it."""
+"""The log position a read requires, and the endpoints known to have applied it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def commit_write(script: RouterScript, after_us: int = 40 * MS, session: str | None = None) -> None:
-    """A write is sent, and its response names its commit time, `after_us` later."""
+    """Send a write that is answered with its commit time `after_us` later."""
     write = script.submit_request(WRITE, session=session)
     script.advance_clock(after_us)
     script.end_attempt(write, role=Role.PRIMARY, position_us=script.now_us)
@@ -36,7 +36,7 @@
 def test_bounded_read_beyond_the_staleness_bound_waits_for_a_fresh_position() -> None:
     script = RouterScript()
     script.start_group("a")
-    script.submit_request(BOUNDED_READ)  # in flight on the replica, as is the next one
+    script.submit_request(BOUNDED_READ)  # stays in flight on the replica, like the next one
     script.advance_clock(300 * MS)
     script.submit_request(BOUNDED_READ)
     script.advance_clock(1)
@@ -94,13 +94,13 @@
     assert expired_us - 2 * SEC <= watermark_us < expired_us
     script.make_primary_busy()
     read = script.submit_request(SESSION_READ, session="session 0")
-    assert script.endpoints_tried(read) == []  # nothing is known of the replica since that commit
+    assert script.endpoints_tried(read) == []  # the replica's known position is older than that commit
     script.pass_health_check("a", lag_us=1)
     assert script.endpoints_tried(read) == ["a"]
 
 
 def test_fresh_read_after_a_lost_write_is_never_sent_to_a_replica() -> None:
-    """A fresh read does not search for the primary: a replica would serve it from old data."""
+    """Unlike a write, a fresh read must not try replicas, which would serve it from stale data."""
     script = RouterScript()
     script.start_group("a", "b")
     script.end_attempt(script.submit_request(WRITE), Outcome.RESET)
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -1,4 +1,4 @@
-"""The layout of the package: its size, its imports, and the example in the README."""
+"""Module sizes, imports of the routing package, and the example in the README."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ROUTING = sorted(Path(parameters.__file__).parents[1].glob("*.py"))
 README = Path(__file__).parents[2] / "README.md"
 
-MAX_MODULE_LINES = 130  # non-blank ones, of each module: decisions are kept in small ones
+MAX_MODULE_LINES = 130  # non-blank lines per module, to keep policy modules small
 MAX_LINE_LENGTH = 110
 
 
--- a/tests/routing/test_outlier.py
+++ b/tests/routing/test_outlier.py
@@ -1,4 +1,4 @@
-"""Which endpoints are ejected, and when they are reinstated."""
+"""Ejection and reinstatement of endpoints."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_ejected_replica_while_others_serve_is_reinstated() -> None:
-    """An ejected endpoint stayed out for as long as any other could take the reads."""
+    """Guards against an endpoint staying ejected for as long as others can serve the reads."""
     script = RouterScript()
     script.start_group("a", "b")
     request = script.submit_request(ANY_READ)
@@ -40,7 +40,7 @@
 
 
 def test_ejection_while_all_endpoints_lose_responses_affects_at_most_half_of_them() -> None:
-    """answer_lost: where half of the group loses responses, the draw alone decides."""
+    """Scenario answer_lost: if half of the group loses responses, only the selection weights change."""
     script = RouterScript()
     script.start_group("a", "b", "c")
     for _ in range(40):
@@ -77,7 +77,7 @@
 
 
 def test_slow_request_cancelled_while_its_endpoint_serves_others_leaves_srtt_unchanged() -> None:
-    """heavy_tail: the endpoint responded to others meanwhile."""
+    """Scenario heavy_tail: the endpoint responded to other requests meanwhile."""
     script = RouterScript()
     script.start_group("a")
     script.end_attempt(script.submit_request(ANY_READ), duration_us=50 * MS)
--- a/tests/routing/test_position_checks.py
+++ b/tests/routing/test_position_checks.py
@@ -1,4 +1,4 @@
-"""Health checks that find out which replicas are fresh enough for a read."""
+"""Health checks that determine which replicas are fresh enough for a read."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 UNKNOWN_FRESHNESS_US = 400 * MS  # beyond the bound of a bounded read
 
 
-def test_bounded_read_after_checks_in_vain_is_sent_to_the_primary() -> None:
+def test_bounded_read_after_checks_without_a_fresh_replica_is_sent_to_the_primary() -> None:
     script = RouterScript()
     script.start_group("a")
     script.end_attempt(script.submit_request(WRITE), role=Role.PRIMARY, position_us=script.now_us)
@@ -32,7 +32,7 @@
 
 
 def test_bounded_read_with_little_time_gets_a_first_position_check() -> None:
-    """give_up: reads that had no time for a check crowded the primaries instead."""
+    """Scenario give_up: reads without time for a check overloaded the primaries instead."""
     script = RouterScript()
     script.start_group("a")
     script.advance_clock(UNKNOWN_FRESHNESS_US)
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True)
 class StaleReads:
-    """Where reads went that found no replica known to be fresh, and what they cost."""
+    """Endpoints chosen for reads without a known fresh replica, and the health checks they needed."""
 
     draws: Counter[str]
     health_checks: int
 
 
 def send_stale_reads(primary_is_busy: bool, reads: int = 400) -> StaleReads:
-    """Submit reads so far apart that each finds no replica known to be fresh."""
+    """Submit reads so far apart that no replica is known to be fresh for any of them."""
     script = RouterScript()
     script.start_group("a", "b", "c")
     script.make_primary_idle()
@@ -96,7 +96,7 @@
 
 
 def script_with_slow_idle_primary() -> RouterScript:
-    """The primary is hardly ever drawn, beside the small initial srtt of the replicas."""
+    """A router whose primary is rarely drawn, given the small initial srtt of the replicas."""
     script = RouterScript()
     script.start_group("a", "b", "c")
     script.make_primary_idle()
@@ -106,7 +106,7 @@
     return script
 
 
-def test_check_in_vain_is_followed_by_another_only_while_the_primary_is_busy() -> None:
+def test_check_that_finds_no_fresh_replica_is_repeated_only_while_the_primary_is_busy() -> None:
     script = script_with_slow_idle_primary()
     script.advance_clock(UNKNOWN_FRESHNESS_US)
     read = script.submit_request(BOUNDED_READ)
@@ -122,7 +122,7 @@
 
 
 def test_session_read_after_a_write_delays_its_check_until_a_report_can_show_the_commit() -> None:
-    """Reports are some age when a check brings them: one sent at once can't show what was just written."""
+    """Load reports have some age, so a check sent at once cannot show the latest write."""
     script = RouterScript()
     script.start_group("a")
     for _ in range(200):
--- a/tests/routing/test_primary.py
+++ b/tests/routing/test_primary.py
@@ -1,4 +1,4 @@
-"""Which endpoint is the primary, and how one is searched for."""
+"""Tracking of the primary, and the search for it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     script = RouterScript()
     script.start_group("a")
     write = script.submit_request(WRITE)
-    # A late response is worth half: it is awaited up to the objective.
+    # A late response is worth half, so it is awaited only up to the latency objective.
     assert script.actions_of(Send, write)[0].timeout_us == WRITE.latency_objective_us == 1 * SEC
     script.run_for(900 * MS)
     script.end_attempt(write, Outcome.CANCELLED)
@@ -44,7 +44,7 @@
 
 
 def test_search_for_a_primary_that_none_claims_to_be_is_spaced() -> None:
-    """perth-boards-later big-2: an interval drawn anew at each tick let the shortest draw win."""
+    """Scenario perth-boards-later big-2: an interval drawn at each tick made the shortest one decide."""
     script = RouterScript()
     script.start_group("a", "b")
     script.end_attempt(script.submit_request(WRITE), Outcome.INELIGIBLE, role=Role.REPLICA)
@@ -58,7 +58,7 @@
 
 
 def test_listed_primary_takes_writes_until_it_responds_as_a_replica() -> None:
-    """Seen on the fleet's days: with one replica's response observed, every router checked whole groups."""
+    """Guards against routers health-checking whole groups after observing only a replica's response."""
     script = RouterScript()
     script.update_endpoints(endpoint("a"), endpoint("b"), endpoint(PRIMARY, listed_primary=True))
     read = script.submit_request(ANY_READ)
--- a/tests/routing/test_property.py
+++ b/tests/routing/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal sequences of events: the five safety rules are checked from events and actions alone."""
+"""Property test: the five safety rules hold under random valid event sequences."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def check_action(simulation: Simulation, action: Action) -> None:
-    """An action keeps the rules, by what was so before it."""
+    """Assert that an action keeps the safety rules, given the state before it."""
     match action:
         case Cancel():
             attempts = simulation.requests[action.request].attempt_count
-            assert 0 <= action.attempt < attempts, "only an attempt that was made is cancelled"
+            assert 0 <= action.attempt < attempts, "cancelled an attempt that was never started"
         case Reject():
             check_is_open(simulation, action)
             check_rejected_is_safe_to_retry(simulation, simulation.requests[action.request])
@@ -30,12 +30,12 @@
 
 
 def check_is_open(simulation: Simulation, action: Reject | Fail | Send) -> None:
-    """There is one final answer, and nothing is sent after it."""
+    """Assert that the request has no final answer yet: nothing may follow one."""
     assert simulation.requests[action.request].is_open
 
 
 def check_rejected_is_safe_to_retry(simulation: Simulation, record: RequestRecord) -> None:
-    """What may have been executed is rejected only where a client's retry is recognised."""
+    """Assert that a possibly executed request is rejected only if a retry is deduplicated."""
     in_flight = simulation.has_attempt_in_flight(record.request.id)
     may_be_executed = record.first_execution is not None or in_flight
     if record.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
@@ -45,10 +45,10 @@
 
 
 def check_send(simulation: Simulation, action: Send) -> None:
-    """An attempt is allowed, and its endpoint may have it."""
+    """Assert that an attempt is permitted on its endpoint."""
     record = simulation.requests[action.request]
     assert record.attempt_count < simulation.settings.max_attempts
-    assert not simulation.has_attempt_in_flight(action.request), "no two attempts at once"
+    assert not simulation.has_attempt_in_flight(action.request), "two attempts in flight"
     draining_since_us = simulation.fleet.draining_since_us.get(action.endpoint)
     if draining_since_us is not None:
         assert simulation.now_us - draining_since_us < simulation.settings.drain_grace_us
@@ -57,7 +57,7 @@
 
 
 def check_retry_is_safe(simulation: Simulation, record: RequestRecord, name: str) -> None:
-    """What may have been executed is sent again only where its idempotency key is recognised."""
+    """Assert that a possibly executed request is resent only where its idempotency key is recognised."""
     request_class = record.request_class
     execution = record.first_execution
     if execution is None or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -69,7 +69,7 @@
 
 
 def check_freshness(simulation: Simulation, record: RequestRecord, name: str) -> None:
-    """The endpoint's true position satisfies the read, or it passes for the primary."""
+    """Assert that the endpoint's true position satisfies the read, or that it may pass for the primary."""
     request_class = record.request_class
     position_us = simulation.fleet.positions_us[name]
     excused = simulation.fleet.may_be_taken_for_primary(name)
@@ -108,5 +108,5 @@
     for _ in range(DRAIN_STEPS):
         simulation.drain_step()
     ended = [record for record in simulation.requests.values() if not record.is_open]
-    assert not simulation.open_requests(), "each request has its final answer"
+    assert not simulation.open_requests(), "requests without a final answer"
     assert len(ended) == submitted
--- a/tests/routing/test_retry.py
+++ b/tests/routing/test_retry.py
@@ -74,7 +74,7 @@
     script.start_group("a")
     for name in (PRIMARY, "a"):
         script.eject_until(name, script.now_us + 60 * SEC)
-    write = script.submit_request(WRITE, deadline_in_us=1200 * MS)  # half of it is less than its objective
+    write = script.submit_request(WRITE, deadline_in_us=1200 * MS)  # half is less than the objective
     script.run_for(500 * MS)
     assert not script.actions_of(Reject, write)
     script.run_for(100 * MS)
@@ -100,7 +100,7 @@
 
 
 def test_attempt_of_a_disconnected_client_is_cancelled_and_not_retried() -> None:
-    """iff5cf5: clients gave up early and asked again while endpoints went on with the first attempt."""
+    """Incident iff5cf5: clients gave up early and retried while endpoints executed the first attempt."""
     script = RouterScript()
     script.start_group("a")
     read = script.submit_request(BOUNDED_READ)
@@ -112,7 +112,7 @@
 
 
 def test_request_that_fails_on_every_endpoint_costs_no_retry_budget_and_blames_none() -> None:
-    """bad_requests: the fault is the request's, and good ones keep endpoints and retries."""
+    """Scenario bad_requests: invalid requests must not cost valid ones their endpoints and retries."""
     script = RouterScript()
     script.start_group("a", "b")
     balance_before = script.router.policy.retries.budget.balance
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""One batch of events: unknown names, timers, and stalls of the router itself."""
+"""Processing of event batches: unknown names, timers, and event loop stalls."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def test_router_without_open_requests_sets_no_timer() -> None:
-    """Hundreds of routers that wake up for nothing cost more than the work."""
+    """Idle wake-ups of hundreds of routers would cost more than the requests."""
     script = RouterScript()
     script.start_group("a", "b")
     script.end_attempt(script.submit_request(ANY_READ))
@@ -64,7 +64,7 @@
 
 
 def test_timer_of_a_poll_does_not_delay_that_of_an_open_request() -> None:
-    """perth-boards-later: requests were lost while the only timer stood seconds away."""
+    """Scenario perth-boards-later: requests were lost while the only timer was due seconds later."""
     script = RouterScript(must_poll=True, router_count=500)
     script.update_endpoints(endpoint("a"))
     read = script.submit_request(BOUNDED_READ)
@@ -75,7 +75,7 @@
 
 
 def test_late_response_found_after_an_event_loop_stall_is_not_counted() -> None:
-    """balancer_stall: late responses and time-outs found after a stall are of the router's own making."""
+    """Scenario balancer_stall: late responses and time-outs after a stall are caused by the router."""
     script = RouterScript()
     script.start_group("a", "b")
     script.end_attempt(script.submit_request(ANY_READ), duration_us=50 * MS)
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -1,4 +1,4 @@
-"""Which replica a read is sent to."""
+"""Selection of the replica that serves a read."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def test_weights_before_any_response_follow_the_initial_srtt() -> None:
-    """Where no endpoint has responded, the small random initial srtt decides."""
+    """Before any endpoint has responded, the small random initial srtt determines the weights."""
     script = RouterScript()
     script.start_group("a", "b", "c")
     states = [script.endpoint_state(name) for name in "abc"]
@@ -76,7 +76,7 @@
 
 
 def test_endpoint_that_reports_much_in_flight_is_excluded_while_the_report_is_recent() -> None:
-    """i0b7f05: with many routers, each one's own attempts say little of an endpoint's load."""
+    """Incident i0b7f05: with many routers, a router's own attempts say little about an endpoint's load."""
     script = RouterScript()
     script.start_group("a", "b")
     for name, in_flight in (("a", 1.0), ("b", 60.0)):
@@ -89,7 +89,7 @@
 
 
 def test_endpoint_whose_errors_are_served_by_others_loses_share() -> None:
-    """fast_errors: quick failures would otherwise win the draw."""
+    """Scenario fast_errors: fast failures lower srtt and would otherwise attract traffic."""
     script = RouterScript()
     script.start_group("a", "b")
     for _ in range(30):
@@ -106,10 +106,10 @@
 
 
 def test_weight_of_an_endpoint_that_failed_fast_in_few_responses_is_low_until_it_recovers() -> None:
-    """A router that sees little must leave an endpoint that fails fast soon.
+    """A router with few requests must soon avoid an endpoint that fails fast.
 
-    Seen on the fleet's day of replacements: one endpoint of eight failed three in five within 20 ms, and got
-    1.5 to 3 times what its like got, as each router met it a few times only.
+    In the fleet's replacement scenario, one of eight endpoints failed three in five requests within 20 ms and
+    got 1.5 to 3 times the traffic of its peers, because each router sent it only a few requests.
     """
     script = RouterScript()
     script.start_group("a", "b")
--- a/tests/routing/test_settings_check.py
+++ b/tests/routing/test_settings_check.py
@@ -1,4 +1,4 @@
-"""Settings that no router can follow."""
+"""Rejection of invalid settings."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_shedding.py
+++ b/tests/routing/test_shedding.py
@@ -1,4 +1,4 @@
-"""Pressure on endpoints, and which requests are rejected because of it."""
+"""Pressure on endpoints, and load shedding."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def full_pressure(script: RouterScript, pressure: float) -> DecayingMean:
-    """As many recent samples of this pressure as are ever counted."""
+    """A pressure estimator filled with recent samples of this value."""
     mean = script.router.state.new_pressure()
     for _ in range(parameters.PRESSURE_SAMPLES):
         mean.observe(script.now_us, pressure)
@@ -52,7 +52,7 @@
 
 
 def test_pressure_of_an_endpoint_with_few_responses_is_that_of_all_replicas() -> None:
-    """pilbara-boards-later big-1: one response in many seconds from each endpoint hid a burst."""
+    """Scenario pilbara-boards-later big-1: rare responses from each endpoint hid a burst."""
     groups = 20
     script = RouterScript()
     script.update_endpoints(*(endpoint(f"m{number}", group=number) for number in range(groups)))
@@ -85,7 +85,7 @@
     script.start_group("a")
     script.observe_pressure("a", OVERLOAD_PRESSURE, PRESSURE_SAMPLES)
     script.observe_pressure(PRIMARY, LOW_PRESSURE)
-    # One response of the primary is too little to go by.
+    # One response of the primary is not enough for overflow.
     assert script.actions_of(Reject, script.submit_request(ANY_READ))
     script.observe_pressure(PRIMARY, LOW_PRESSURE, samples=5)
     assert set(script.count_draws(ANY_READ, requests=3)) == {PRIMARY}
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""How much is sent to an endpoint that is warming up."""
+"""Slow start: the load sent to endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def capacity_fraction(script: RouterScript, name: str) -> float:
-    """The part of its capacity that the router takes an endpoint to have."""
+    """The fraction of its capacity that the router assumes for an endpoint."""
     return script.router.policy.slow_start.capacity_fraction(script.endpoint_state(name))
 
 
@@ -25,7 +25,7 @@
 
 
 def test_peak_rate_of_warm_endpoints_counts_responses_and_not_attempts() -> None:
-    """i426656: in overload warm endpoints are sent far more than they respond to."""
+    """Incident i426656: in overload, warm endpoints get far more attempts than they answer."""
     script = RouterScript()
     script.start_group("a")
     for _ in range(60):
@@ -40,7 +40,7 @@
 def test_endpoint_that_refused_a_connection_warms_up_only_after_a_failed_health_check(
     fails_health_check: bool,
 ) -> None:
-    """conn_squeeze: endpoints that take few connections are as warm as before."""
+    """Scenario conn_squeeze: endpoints that accept only few connections are still warm."""
     script = RouterScript()
     script.start_group("a")
     script.end_attempt(script.submit_request(ANY_READ), Outcome.UNREACHABLE)
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("router_count", [2, 500])
 def test_slow_start_tokens_of_all_routers_together_stay_within_the_budget(router_count: int) -> None:
-    """big-1 of perth-boards-later: one attempt a window for each of hundreds overloaded an endpoint."""
+    """Scenario perth-boards-later big-1: one attempt per window of hundreds of routers was overload."""
     seeds = 60
     sent = 0
     for seed in range(seeds):
@@ -70,7 +70,7 @@
             sent += script.endpoints_tried(request) == ["a"]
             script.run_for(200 * MS)
             script.disconnect_client(request)
-    windows = 2  # of one attempt for all routers together
+    windows = 2  # each allows one attempt of all routers together
     assert sent <= seeds * windows * (2 / router_count) + 3
 
 
@@ -81,7 +81,7 @@
 def test_endpoint_reinstated_after_failed_health_checks_warms_up_only_if_it_refused_them(
     check_duration_us: int, expected_fraction: float
 ) -> None:
-    """One that was only cut off is as warm as before; one whose process was dead has restarted."""
+    """An endpoint that was only unreachable is still warm; one whose process was down has restarted."""
     script = RouterScript()
     script.start_group("a")
     for _ in range(3):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: a transcript by hand, unusual but legal input, malformed input, repeatability."""
+"""Simulator adapter: a hand-written transcript, unusual but valid input, malformed input, determinism."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def instance_config(**changes: Any) -> str:
-    """The settings object of one instance as the simulator sends it; `changes` replace its top fields."""
+    """The settings object of one instance as the simulator sends it; `changes` override top-level fields."""
     service = {
         "name": "view",
         "deadline_s": 1.0,
@@ -70,7 +70,7 @@
 
 
 def run_transcript(text: str) -> list[str]:
-    """The adapter's lines in reply to these of the simulator."""
+    """The adapter's reply to the simulator's lines."""
     sink = io.StringIO()
     simulator_adapter.serve(io.StringIO(text), sink)
     return sink.getvalue().splitlines()
@@ -137,7 +137,7 @@
     assert sorted(endpoints) == ["a:1", "b:1", "c:1"]
 
 
-def test_instance_destroyed_and_enlisted_in_one_batch_starts_anew() -> None:
+def test_instance_destroyed_and_enlisted_in_one_batch_is_restarted() -> None:
     adapter = started_adapter()
     enlist = START_BATCH[1]
     adapter.process_batch(["CLOCK ts_s=22", "DESTROY driver=driver/0", enlist])
@@ -220,7 +220,7 @@
 
 
 def actions_by_instance(reply: str) -> dict[str, list[str]]:
-    """The lines of a reply that carry actions, by the instance they are for."""
+    """The action lines of a reply, by instance."""
     actions: dict[str, list[str]] = {}
     for line in reply.splitlines():
         if line != "ACK":
@@ -230,7 +230,7 @@
 
 
 def run_in_a_process(instances: list[int], hash_seed: str) -> dict[str, list[str]]:
-    """The actions of these instances, in a process whose hashes have this seed."""
+    """Run these instances in a process with this hash seed, and return their actions."""
     completed = subprocess.run(
         [sys.executable, "-m", "juniperreel.simulator_adapter"],
         input=many_requests(instances),
