--- a/juniperreel/routing/policy/endpoint_list.py
+++ b/juniperreel/routing/policy/endpoint_list.py
@@ -81,9 +81,7 @@
         elif endpoint.update(info, state.now_us):
             endpoint.restart(state.now_us, self._initial_srtt_us(), state.random.random())
         if self._updates_missed and info.readiness is Readiness.DRAINING and not was_draining:
-            endpoint.readiness_changed_us = (
-                state.now_us - state.settings.drain_grace_us
-            )  # assume that it expired
+            endpoint.readiness_changed_us = state.now_us - state.settings.drain_grace_us  # earliest time
         if info.listed_primary and state.settings.list_names_primary:
             state.group(info.group).listed_primary = endpoint
 
--- a/juniperreel/routing/policy/parameters.py
+++ b/juniperreel/routing/policy/parameters.py
@@ -29,13 +29,13 @@
 LOSSES_TO_EJECT = 2  # consecutive losses; a single one is noise
 PRIMARY_RETRY_BACKOFF_US = 30 * MS  # before a request's first retry on a failed primary; doubles
 MAX_RETRY_DOUBLINGS = 5
-RETRY_BUDGET_RATIO = 0.3  # retries earned per request: bounds the load that retries add
+RETRY_BUDGET_RATIO = 0.3  # retries earned per request: they add at most this fraction of the load
 RETRY_BUDGET_BURST = 10.0  # retries in a burst, for an endpoint that crashes with requests in flight
 ERRORS_TO_FAIL = 2  # fast errors on this many attempts are attributed to the request itself
 MAX_QUEUED_FRACTION = 0.5  # of the time to its deadline: then a retry by the client is more useful
 MIN_REMAINING_US = 10 * MS  # with less time left, no response can arrive before the deadline
 LATE_WEIGHT_FLOOR = 0.5  # below it, late responses are not awaited beyond the latency objective
-ROLE_RESPONSE_TTL_US = 1 * SEC  # roles in health checks are outdated: one in a response takes precedence
+ROLE_RESPONSE_TTL_US = 1 * SEC  # a role in a response overrides health checks, which are outdated
 
 PRESSURE_SAMPLES = 9  # number of responses in the mean of response time over latency objective
 MAX_PRESSURE_SAMPLE = 4.0
@@ -45,11 +45,8 @@
 PRESSURE_FADE_US = 6 * SEC  # weight of samples decays without new responses: old ones are unreliable
 SHEDDING_START = 0.45  # none is shed below it, all above SHEDDING_END, linear in between
 SHEDDING_END = 1.1
-PRIORITY_GAIN = 0.02  # weight of each request's priority in the mean priority
-PRIORITY_RANGE = (
-    0.4,
-    2.5,
-)  # of priority per duration to its mean; thresholds scale with the root
+PRIORITY_GAIN = 0.02  # weight of a request's priority in the mean; priority is weight over mean duration
+PRIORITY_RANGE = (0.4, 2.5)  # clamps a request's priority over the mean; thresholds scale with the root
 OVER_QUOTA_FACTOR = 0.5  # threshold factor for tenants that are over quota
 PRIMARY_READ_FACTOR = 0.5  # threshold factor for reads that fall back to a primary, which writes need
 OVERFLOW_MIN_WEIGHT = 4.0  # recent responses of a primary before reads shed by replicas may overflow to it
@@ -57,9 +54,7 @@
 TENANT_SMOOTHING = 0.998  # weight of the previous request counts by tenant, per request
 QUOTA_DEVIATIONS = 3  # standard deviations above the tenant's share; chance alone rarely exceeds them
 
-SLOW_START_UTILIZATION = (
-    0.7  # of the load that would overload a warming endpoint; it mostly has more capacity
-)
+SLOW_START_UTILIZATION = 0.7  # of what would overload a warming endpoint; it mostly has more capacity
 THROUGHPUT_WINDOW_US = 10 * SEC  # window for counting responses of warm endpoints
 THROUGHPUT_PEAK_FADE_US = 60 * SEC  # throughput reached a minute ago is usually still possible
 WARM_CAPACITY_REFRESH_US = 1 * SEC
@@ -77,7 +72,7 @@
 POLL_JITTER_US = 10 * MS  # per router in the fleet: routers that start together must not poll together
 POLL_RETRY_US = 1 * SEC  # after a failed call, plus up to twice the jitter
 MAX_POLL_RETRY_US = 4_500 * MS  # polled updates take effect after 6 s, of which 1.5 s are for the call
-MAX_SESSIONS = 20_000  # evicted sessions raise a watermark that replicas must have passed
+MAX_SESSIONS = 20_000  # sessions kept; evicted ones raise a watermark that replicas must have passed
 RESPONSE_TRANSIT_US = 50 * MS  # a written response counts as received after twice this time, even if lost
 SESSION_TTL_US = 60 * SEC  # a replica that has not applied older commits is unusable anyway
 REMOVED_ENDPOINT_TTL_US = 60 * SEC  # after that, endpoints that left the list are dropped
