--- a/juniperreel/routing/parts.py
+++ b/juniperreel/routing/composition.py
@@ -1,4 +1,4 @@
-"""Composition of one router's policy: its parts, each with its own state and decisions."""
+"""Composition of one router's policy from components, each with its own state and decisions."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from juniperreel.routing.policy.slow_start import SlowStart
 from juniperreel.routing.pressure import PressureTable
 from juniperreel.routing.sessions import SessionTable
-from juniperreel.routing.state import Estimators, RouterState
+from juniperreel.routing.state import EstimatorFactory, RouterState
 from juniperreel.routing.types import Settings
 
 
 @dataclass(frozen=True, slots=True)
-class PolicyParts:
-    """What selection, position checks and dispatch, which bring the parts together, decide with."""
+class Policy:
+    """The policy components that selection, position checks and dispatch combine."""
 
     state: RouterState
     endpoints: EndpointTracker
@@ -33,14 +33,14 @@
     primaries: PrimaryTracker
 
 
-def compose(settings: Settings, seed: int) -> PolicyParts:
-    """Make the parts of a router that starts; the primary tracker takes its first random draw here."""
-    state = new_state(settings, seed)
+def build_policy(settings: Settings, seed: int) -> Policy:
+    """Create the components of a router; the primary tracker takes the first random number."""
+    state = build_state(settings, seed)
     endpoints = EndpointTracker(state)
     retries = RetryPolicy(state)
     outliers = OutlierDetector(state, endpoints, retries)
     pressure = PressureTable(state, parameters.PRESSURE_MIN_WEIGHT, parameters.PRESSURE_SAMPLES)
-    return PolicyParts(
+    return Policy(
         state=state,
         endpoints=endpoints,
         freshness=Freshness(state),
@@ -52,8 +52,8 @@
     )
 
 
-def new_state(settings: Settings, seed: int) -> RouterState:
-    """A router's tables, their estimators made with the policy's parameters."""
+def build_state(settings: Settings, seed: int) -> RouterState:
+    """Create the router's tables, with estimators that use the policy's parameters."""
     gain = 1 - parameters.RESPONSE_TIME_SMOOTHING
     objectives = [request_class.latency_objective_us for request_class in settings.classes]
     return RouterState(
@@ -63,7 +63,7 @@
         mean_load=MovingAverage(0.0, 1 - parameters.REPORT_SMOOTHING),
         sessions=SessionTable(parameters.MAX_SESSIONS, parameters.SESSION_TTL_US),
         log_interval_us=parameters.LOG_INTERVAL_US,
-        estimators=Estimators(_new_pressure, _new_success_rate, _new_backoff),
+        estimator_factory=EstimatorFactory(_new_pressure, _new_success_rate, _new_backoff),
     )
 
 
--- a/juniperreel/routing/router.py
+++ b/juniperreel/routing/router.py
@@ -1,9 +1,9 @@
-"""The router: the events of one moment in, actions out. Hands each event to the parts of the policy.
+"""The router: turns a batch of events into actions by passing each event to the policy components.
 
-Composes the parts and has no rule of its own. A read's replica is drawn with probability proportional to
-1/srtt among those whose known log position satisfies the read; all else guards that draw or covers what it
-leaves open. One router shares nothing with others, draws from its own seed and knows only the time of its
-batch.
+Combines the components and has no rules of its own. The replica for a read is drawn with probability
+proportional to 1/srtt among those whose known log position satisfies the read; everything else protects that
+draw or handles the cases it does not cover. A router shares no state with others, uses its own random seed
+and knows no time other than that of the batch.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import replace
 
-from juniperreel.routing.endpoint_state import IDLE_US
-from juniperreel.routing.parts import compose
+from juniperreel.routing.composition import build_policy
+from juniperreel.routing.endpoint_state import DISTANT_FUTURE_US
 from juniperreel.routing.policy import parameters
 from juniperreel.routing.policy.dispatch import Dispatcher
 from juniperreel.routing.policy.position_checks import PositionChecker
@@ -38,25 +38,26 @@
 
 
 class Router:
-    """One process's routing: `handle` takes the events of one moment and returns what to do."""
+    """The router of one process: `handle` takes a batch of events and returns the resulting actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Compose the parts. Raises ValueError for settings that no router can follow."""
+        """Create the policy components. Raises ValueError for invalid settings."""
         check_settings(settings)
-        self.parts = compose(settings, seed)
-        self.state = self.parts.state
-        self.selection = Selection(self.parts)
-        self.position_checks = PositionChecker(self.parts, self.selection)
-        self.dispatcher = Dispatcher(self.parts, self.position_checks)
+        self.policy = build_policy(settings, seed)
+        self.state = self.policy.state
+        self.selection = Selection(self.policy)
+        self.position_checks = PositionChecker(self.policy, self.selection)
+        self.dispatcher = Dispatcher(self.policy, self.position_checks)
         self._tick = TickTimer()
-        self.handled_events = 0  # by `handle`; where it raised, the event of this index did
+        self.handled_events = 0  # count in the current batch; if `handle` raises, index of the failing event
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Take in all events since the last call, and return the actions they lead to.
+        """Process all events since the last call, and return the resulting actions.
 
-        An event loop that stalled finds silence and late responses of its own making: `RouterState.stalled`
-        tells the parts so. Clients that disconnected come first, so that no outcome leads to an attempt for
-        them; the timer comes last, so that what arrived is learned before anything is judged.
+        After an event loop stall, missing and late responses may be caused by the stall itself:
+        `RouterState.stalled` tells the components so. Client disconnects are processed first, so that no
+        outcome triggers another attempt for them; timers are processed last, so that decisions use everything
+        that has arrived.
         """
         state = self.state
         state.now_us = max(state.now_us, now_us)
@@ -70,7 +71,7 @@
             if not isinstance(event, Request) or event.id not in disconnected:
                 self._on_event(event)
             self.handled_events += 1
-        self._on_queues_due(batch)
+        self._process_queues(batch)
         self._set_tick()
         return state.actions
 
@@ -91,7 +92,7 @@
             case HealthCheckEnded():
                 self._on_health_check_ended(event)
             case EndpointUpdate():
-                self.parts.endpoints.on_update(event)
+                self.policy.endpoints.on_update(event)
             case StreamStarted():
                 self._on_stream_started(event)
             case DeadlineShortened():
@@ -99,16 +100,16 @@
             case EndpointClockAdjusted(shift_us):
                 self.state.adjust_endpoint_clock(shift_us)
             case ClientDisconnected() | TimerFired():
-                pass  # handled before and after all others
+                pass  # handled before and after all other events
 
     def _on_disconnected(self, name: str) -> None:
-        """Cancel what nobody waits for: clients that leave and retry would double the endpoints' work."""
+        """Cancel the client's attempts: clients that disconnect and retry would double the load."""
         request = self.state.requests[name]
         self.state.cancel_attempts(request)
         self.state.finish(request)
 
     def _on_stream_started(self, event: StreamStarted) -> None:
-        """From its first byte on the response is the client's: no retry, and no other answer."""
+        """Finish the request: once the first byte was forwarded, no retry or other answer is possible."""
         request = self.state.requests.get(event.request)
         if request is not None:
             self.state.finish(request)
@@ -120,16 +121,16 @@
             request.request = replace(request.request, deadline_us=deadline_us)
 
     def _on_request(self, event: Request) -> None:
-        """Take in a new request; one that is known goes on as it is."""
+        """Start a new request; a duplicate id is ignored."""
         if event.id in self.state.requests:
             return
         if not 0 <= event.class_index < len(self.state.settings.classes):
             self.state.emit(Fail(event.id))
             return
-        request = self.parts.retries.new_request(event)
+        request = self.policy.retries.new_request(event)
         self.state.requests[event.id] = request
         self.position_checks.budget.earn()
-        self.parts.shedder.on_request(request)
+        self.policy.shedder.on_request(request)
         self.dispatcher.dispatch(request)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -138,13 +139,13 @@
             return
         attempt = self.state.end_attempt(request, event)
         endpoint = attempt.endpoint
-        self.parts.primaries.observe_response(endpoint, event.role)
+        self.policy.primaries.observe_response(endpoint, event.role)
         self.state.observe_positions(request, endpoint, event)
         self.state.observe_load_report(endpoint, event.load_report, parameters.MIN_CAPACITY)
-        self.parts.outliers.on_outcome(endpoint, request, event)
-        self.parts.slow_start.on_outcome(endpoint, event.outcome)
+        self.policy.outliers.on_outcome(endpoint, request, event)
+        self.policy.slow_start.on_outcome(endpoint, event.outcome)
         self.selection.on_outcome(endpoint, request, event)
-        self.parts.shedder.on_outcome(endpoint, request, event)
+        self.policy.shedder.on_outcome(endpoint, request, event)
         self.state.observe_execution(request, attempt, event.outcome)
         self.dispatcher.on_outcome(endpoint, request, event)
 
@@ -153,25 +154,27 @@
         if endpoint is None:
             return
         report = event.load_report or LoadReport()
-        self.parts.outliers.on_health_check(endpoint, event)
+        self.policy.outliers.on_health_check(endpoint, event)
         self.state.observe_load_report(endpoint, report, parameters.MIN_CAPACITY)
         self.position_checks.observe_report(endpoint, report)
-        self.parts.primaries.observe_report(endpoint, report)
+        self.policy.primaries.observe_report(endpoint, report)
 
-    def _on_queues_due(self, batch: Sequence[Event]) -> None:
-        """Look at queued requests again when the timer fired or a health check has ended."""
+    def _process_queues(self, batch: Sequence[Event]) -> None:
+        """Dispatch queued requests when the timer has fired or a health check has ended."""
         fired = any(isinstance(event, TimerFired) and self._tick.is_current(event.key) for event in batch)
         if fired:
             self._tick.clear()
-            self.parts.retries.cancel_overdue()
-            self.parts.endpoints.poll_if_due()
+            self.policy.retries.cancel_overdue()
+            self.policy.endpoints.poll_if_due()
         if fired or any(isinstance(event, HealthCheckEnded) for event in batch):
             for number in dict.fromkeys(r.request.group for r in self.state.requests.values()):
                 self.dispatcher.dispatch_queued(self.state.group(number))
 
     def _set_tick(self) -> None:
-        poll_delay_us = self.parts.endpoints.next_poll_us - self.state.now_us
+        poll_delay_us = self.policy.endpoints.next_poll_us - self.state.now_us
         delay_us = parameters.TICK_US if self.state.requests else max(poll_delay_us, parameters.TICK_US)
-        timer = self._tick.set_within(self.state.now_us, delay_us) if delay_us < IDLE_US // 2 else None
+        timer = (
+            self._tick.set_within(self.state.now_us, delay_us) if delay_us < DISTANT_FUTURE_US // 2 else None
+        )
         if timer is not None:
             self.state.emit(timer)
