--- a/juniperreel/net/__init__.py
+++ b/juniperreel/net/__init__.py
@@ -1,4 +1,4 @@
-"""The interface to network and clock: the only package that opens sockets."""
+"""Networking and the clock. No other package opens sockets."""
 
 from juniperreel.net.clock import Clock
 from juniperreel.net.network import (
--- a/juniperreel/net/accept.py
+++ b/juniperreel/net/accept.py
@@ -1,4 +1,4 @@
-"""The accept loop that every server of the program runs on its listener."""
+"""The accept loop shared by all servers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 ) -> None:
     """Run `handle` in a task for each accepted connection, until cancelled or the listener is closed.
 
-    Reports the port once it accepts, and returns when the listener is closed and all handlers have ended.
-    A connection accepted while `has_capacity` is false is closed at once. `after_accept` is awaited after
-    each accept, ahead of that check.
+    Reports the listening port through `task_status`, and returns once the listener is closed and all handlers
+    have finished. Connections accepted while `has_capacity` returns false are closed immediately.
+    `after_accept` is awaited after each accept, before the capacity check.
     """
     async with trio.open_nursery() as nursery:
         task_status.started(listener.port)
--- a/juniperreel/net/accept_pause.py
+++ b/juniperreel/net/accept_pause.py
@@ -1,26 +1,25 @@
-"""The pause after an accept that failed as descriptors or memory had run out.
+"""Backoff after accept() failed for lack of descriptors or memory.
 
-Resources are mostly there again at once, and a crowd must not wait for each failure: the pause grows only
-while failures come one after the other.
+Resources usually become available again at once, and a burst of connections must not wait for each failure:
+the delay grows only with consecutive failures.
 """
 
 from __future__ import annotations
 
-FIRST_PAUSE_US = 1_000
-LAST_PAUSE_US = 100_000
+MIN_DELAY_US = 1_000
+MAX_DELAY_US = 100_000
 
 
-class AcceptPause:
-    """The current pause in microseconds; 0 after an accept that succeeded."""
+class AcceptBackoff:
+    """Exponential backoff. `delay_us` is the current delay in microseconds, 0 after a successful accept."""
 
     def __init__(self) -> None:
-        """Start without a failure."""
-        self.us = 0
+        self.delay_us = 0
 
-    def lengthen(self) -> None:
-        """Note a failure."""
-        self.us = min(max(2 * self.us, FIRST_PAUSE_US), LAST_PAUSE_US)
+    def record_failure(self) -> None:
+        """Double the delay, up to `MAX_DELAY_US`."""
+        self.delay_us = min(max(2 * self.delay_us, MIN_DELAY_US), MAX_DELAY_US)
 
     def reset(self) -> None:
-        """Note an accept that succeeded."""
-        self.us = 0
+        """Clear the delay after a successful accept."""
+        self.delay_us = 0
--- a/juniperreel/net/acceptor.py
+++ b/juniperreel/net/acceptor.py
@@ -1,4 +1,4 @@
-"""A listening socket on a `Poller`: accepted connections become transports."""
+"""A listening socket registered with a `Poller`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from juniperreel.net.accept_pause import AcceptPause
+from juniperreel.net.accept_pause import AcceptBackoff
 from juniperreel.net.network import BACKLOG, DESCRIPTOR_EXHAUSTION_ERRNOS, address_family
 from juniperreel.net.poller import Poller
 from juniperreel.net.transport import Transport
@@ -20,7 +20,7 @@
     def __init__(
         self, poller: Poller, host: str, port: int, on_accepted: Callable[[Transport], None]
     ) -> None:
-        """Start to listen. Raises OSError where the address can't be had."""
+        """Start listening. Raises OSError if the address is not available."""
         self._poller = poller
         self._on_accepted = on_accepted
         self._socket = socket.socket(address_family(host), socket.SOCK_STREAM)
@@ -34,18 +34,20 @@
             raise
         self.port: int = self._socket.getsockname()[1]
         self.is_open = True
-        self.exhausted_us = 0  # when descriptors ran out last; nothing is accepted until `retry`
-        # Since when connections that are accepted now may have waited in the kernel; 0 where none does.
+        # When accept() last ran out of descriptors or memory, else 0; accepting is suspended until `retry`.
+        self.exhausted_us = 0
+        # Earliest time at which connections accepted now may have entered the kernel's accept queue; 0 if the
+        # queue is empty.
         self.waiting_since_us = 0
-        self._pause = AcceptPause()  # before the next attempt after a failure
+        self._backoff = AcceptBackoff()
         poller.add(self._socket.fileno(), select.EPOLLIN, self)
 
     def handle_event(self, _mask: int) -> None:
-        """Accept what waits, up to `ACCEPTS_PER_EVENT` connections."""
+        """Accept up to `ACCEPTS_PER_EVENT` pending connections."""
         self._accept(self.ACCEPTS_PER_EVENT)
 
     def _accept(self, max_connections: int) -> bool:
-        """Accept so many connections at most; return whether none is known to wait any more."""
+        """Accept at most `max_connections`; return whether the accept queue was drained."""
         self.waiting_since_us = self.waiting_since_us or self._poller.ready_since_us
         for _ in range(max_connections):
             try:
@@ -55,22 +57,22 @@
                 return True
             except OSError as error:
                 if error.errno in DESCRIPTOR_EXHAUSTION_ERRNOS:
-                    # The kernel keeps the connection pending and would report it with every poll, so the
-                    # loop would spin until a descriptor is free.
+                    # The connection stays in the accept queue and every poll would report it: the loop would
+                    # spin until a descriptor is free.
                     self.exhausted_us = self._poller.clock.now_us()
-                    self._pause.lengthen()
+                    self._backoff.record_failure()
                     self._poller.change(self._socket.fileno(), 0)
                     return False
-                continue  # the failure of one connection that was never established
-            self._pause.reset()
+                continue  # this connection was aborted before it was accepted
+            self._backoff.reset()
             transport = self._prepare(connection)
             if transport is not None:
                 self._on_accepted(transport)
-        self._forget_wait_unless_connections_wait()
+        self._reset_waiting_since_if_queue_empty()
         return False
 
     def _prepare(self, connection: socket.socket) -> Transport | None:
-        """Return the connection's transport, or close one that the system has no resources for."""
+        """Return a transport for the connection, or close it and return None if resources are exhausted."""
         try:
             connection.setblocking(False)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -80,35 +82,35 @@
             return None
 
     def retry_due_us(self) -> int | None:
-        """Return when `retry` is to be called; None where nothing has failed."""
+        """Return when `retry` is due; None unless accepting is suspended."""
         if not self.exhausted_us or not self.is_open:
             return None
-        return self.exhausted_us + self._pause.us
+        return self.exhausted_us + self._backoff.delay_us
 
     def retry(self, now_us: int) -> None:
-        """Accept again, once the pause after descriptors ran out has passed."""
+        """Resume accepting if the backoff delay has elapsed."""
         due_us = self.retry_due_us()
         if due_us is not None and now_us >= due_us:
             self.exhausted_us = 0
-            self._forget_wait_unless_connections_wait()
+            self._reset_waiting_since_if_queue_empty()
             self._poller.change(self._socket.fileno(), select.EPOLLIN)
 
-    def _forget_wait_unless_connections_wait(self) -> None:
-        """Otherwise the next connection, however much later, would count as waiting since then."""
-        if not self._connection_waits():
+    def _reset_waiting_since_if_queue_empty(self) -> None:
+        """Clear `waiting_since_us`; a stale value would be attributed to later connections."""
+        if not self._has_pending_connection():
             self.waiting_since_us = 0
 
-    def _connection_waits(self) -> bool:
-        """Return whether the kernel holds a connection, which it tells without any free descriptor."""
+    def _has_pending_connection(self) -> bool:
+        """Return whether the accept queue is non-empty; poll() reports this without a free descriptor."""
         poll = select.poll()
         poll.register(self._socket.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """Accept the connections that the kernel has already established, then stop listening.
+        """Drain the accept queue, then stop listening.
 
-        Those that can't be accepted now would be reset with the requests that were sent on them: the listener
-        stays open then, and `close` is to be called again.
+        Closing the listener resets connections still in the queue, and the requests already sent on them are
+        lost. If they cannot all be accepted now, the listener stays open and `close` must be called again.
         """
         if self.is_open and self._accept(BACKLOG):
             self.is_open = False
--- a/juniperreel/net/network.py
+++ b/juniperreel/net/network.py
@@ -1,7 +1,7 @@
-"""Listening and connecting, behind an interface that a simulated network can stand in for.
+"""TCP listening and connecting, behind an interface that a simulated network can implement.
 
-A stream is trio's own `trio.abc.Stream`: `send_all`, `receive_some`, `aclose`; a broken one raises
-`trio.BrokenResourceError`. Nothing here knows what the bytes mean.
+Streams are `trio.abc.Stream`s; operations on a broken one raise `trio.BrokenResourceError`. This module is
+independent of the application protocol.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 import trio
 
-from juniperreel.net.accept_pause import AcceptPause
+from juniperreel.net.accept_pause import AcceptBackoff
 from juniperreel.net.clock import US
 
 DESCRIPTOR_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 LISTENER_CLOSED_ERRNOS = frozenset({errno.EBADF, errno.EINVAL})
 BACKLOG = 1024
-TCP_ESTABLISHED = 1  # of the kernel's TCP states
+TCP_ESTABLISHED = 1  # enum in linux/tcp_states.h
 
 
 class ConnectError(Exception):
@@ -29,11 +29,11 @@
 
 
 class ConnectRefusedError(ConnectError):
-    """The peer's host refused the connection: no process listens there."""
+    """The connection was refused: no process listens on the port."""
 
 
 class ConnectTimedOutError(ConnectError):
-    """No answer within the time allowed, or no route to the host."""
+    """The connection attempt timed out, or the host is unreachable."""
 
 
 class Listener(Protocol):
@@ -51,10 +51,10 @@
 
 
 class Network(Protocol):
-    """Listens and connects."""
+    """Opens listeners and connections."""
 
     async def listen(self, host: str, port: int) -> Listener:
-        """Listen on an address; port 0 lets the system choose. Raises OSError where it can't be had."""
+        """Listen on an address; port 0 picks a free one. Raises OSError if it is not available."""
         ...
 
     async def connect(self, host: str, port: int, timeout_us: int) -> trio.abc.Stream:
@@ -63,12 +63,12 @@
 
 
 class TcpListener:
-    """A listening TCP socket. Accepting goes on when descriptors were exhausted for a time."""
+    """A listening TCP socket. `accept` retries with a backoff while descriptors are exhausted."""
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
-        """Take over a socket that listens."""
+        """Take ownership of a listening socket."""
         self._sock = sock
-        self._pause = AcceptPause()
+        self._backoff = AcceptBackoff()
         self.port: int = sock.getsockname()[1]
 
     async def accept(self) -> trio.abc.Stream:
@@ -81,41 +81,41 @@
                 sock.close()
 
     async def accept_socket(self) -> trio.socket.SocketType:
-        """Return the next connection as a bare socket, for passing it to another process."""
+        """Return the next connection as a raw socket, to be passed to another process."""
         while True:
             try:
                 sock, _ = await self._sock.accept()
             except OSError as error:
                 if error.errno in DESCRIPTOR_EXHAUSTION_ERRNOS:
-                    # The kernel keeps the connection pending: without a pause the loop would spin.
-                    self._pause.lengthen()
-                    await trio.sleep(self._pause.us / US)
+                    # The connection stays in the accept queue: without a delay the loop would spin.
+                    self._backoff.record_failure()
+                    await trio.sleep(self._backoff.delay_us / US)
                 elif error.errno in LISTENER_CLOSED_ERRNOS:
                     raise trio.ClosedResourceError from error
-                # Anything else is the failure of one connection that was never established.
+                # Other errors concern a single connection that was aborted before it was accepted.
             else:
-                self._pause.reset()
+                self._backoff.reset()
                 return sock
 
     def close(self) -> None:
-        """Stop listening at once; tasks that wait in `accept` get trio.ClosedResourceError."""
+        """Stop listening; pending `accept` calls raise trio.ClosedResourceError."""
         self._sock.close()
 
     async def aclose(self) -> None:
-        """Stop listening, as `close` does."""
+        """Stop listening, like `close`."""
         self._sock.close()
         await trio.lowlevel.checkpoint()
 
 
 class ReservedPort:
-    """A port that the system assigns to no other socket, for a server that stops and returns to it.
+    """A port kept out of ephemeral allocation, for a server that restarts on the same port.
 
-    It is bound and not listened on here. Others can listen on it meanwhile; connections are refused while
-    nobody does.
+    The socket is bound but does not listen. Other sockets can listen on the port (SO_REUSEADDR); while none
+    does, connections are refused.
     """
 
     def __init__(self, host: str = "127.0.0.1") -> None:
-        """Bind a free port. Raises OSError where none is available."""
+        """Bind a free port. Raises OSError if none is available."""
         self._sock = socket.socket(address_family(host), socket.SOCK_STREAM)
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -126,15 +126,15 @@
         self.port: int = self._sock.getsockname()[1]
 
     def close(self) -> None:
-        """Give the port back to the system."""
+        """Release the port."""
         self._sock.close()
 
 
 class TcpNetwork:
-    """TCP, on numeric IPv4 and IPv6 addresses."""
+    """TCP over numeric IPv4 and IPv6 addresses."""
 
     async def listen(self, host: str, port: int) -> TcpListener:
-        """Listen on an address; port 0 lets the system choose. Raises OSError where it can't be had."""
+        """Listen on an address; port 0 picks a free one. Raises OSError if it is not available."""
         sock = trio.socket.socket(address_family(host), socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -172,23 +172,23 @@
 
 
 def hung_up(stream: trio.abc.Stream) -> bool:
-    """Return whether the peer has ended its side, even where bytes before that end wait to be read."""
+    """Return whether the peer has closed its side, even if received bytes are still unread."""
     if not isinstance(stream, trio.SocketStream):
         return False
     try:
         state: int = stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError:
-        return True  # closed here already
+        return True  # already closed locally
     return state != TCP_ESTABLISHED
 
 
 def has_unread_bytes(stream: trio.abc.Stream) -> bool:
-    """Return whether the kernel holds bytes of the peer that nobody has received yet."""
+    """Return whether the socket's receive buffer holds unread bytes."""
     if not isinstance(stream, trio.SocketStream):
         return False
     count = array("i", [0])
     try:
         fcntl.ioctl(stream.socket.fileno(), termios.FIONREAD, count)
     except (OSError, ValueError):
-        return False  # closed here already
+        return False  # already closed locally
     return count[0] > 0
--- a/juniperreel/net/socket_passing.py
+++ b/juniperreel/net/socket_passing.py
@@ -1,8 +1,8 @@
-"""Accepted connections passed between processes of one program, over a socket pair (SCM_RIGHTS, unix(7)).
+"""Passing of accepted connections from a parent to its workers, over a socket pair (SCM_RIGHTS, unix(7)).
 
-The parent listens and passes connections on; to the rest of a worker its `PassedSocketNetwork` looks like the
-network on which it would have listened itself. Messages are datagrams, so each one arrives complete or not at
-all.
+The parent listens and passes connections on; a worker's `PassedSocketNetwork` implements `Network`, so the
+rest of the worker is independent of this. The socket pair is SOCK_SEQPACKET, which preserves message
+boundaries.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from juniperreel.net.network import TcpListener, TcpNetwork
 
 MAX_MESSAGE_BYTES = 4096
-LISTENER_QUEUE = 1024  # connections passed to a worker that it has not accepted yet
+LISTENER_QUEUE = 1024  # passed connections that a worker has not accepted yet
 DESCRIPTOR_BYTES = array.array("i").itemsize
 PASS_ATTEMPTS = 100
 PASS_RETRY_S = 0.05
@@ -27,18 +27,18 @@
     """Both ends of the channel between a parent and one worker."""
 
     parent: socket.socket
-    worker: socket.socket  # given to the worker by its descriptor
+    worker: socket.socket  # inherited by the worker as a descriptor
 
 
 class PassedMessage(NamedTuple):
-    """One received message; `data` is empty when the other end is gone."""
+    """One received message; `data` is empty if the other end is closed."""
 
     data: bytes
     connection: socket.socket | None
 
 
 def create_socket_pair() -> SocketPair:
-    """Return two connected, non-blocking ends."""
+    """Create a connected, non-blocking socket pair."""
     parent, worker = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     parent.setblocking(False)
     worker.setblocking(False)
@@ -46,15 +46,15 @@
 
 
 class SocketPassing:
-    """One end of the channel: messages, with or without a connection."""
+    """One end of the channel. A message may carry a connection."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take over one end of a socket pair."""
+        """Take ownership of one end of a socket pair."""
         self._raw = sock
         self._sock = trio.socket.from_stdlib_socket(sock)
 
     def send(self, message: bytes, connection: trio.socket.SocketType | None = None) -> bool:
-        """Send without waiting; return False where the other end takes no more, or is gone."""
+        """Send without blocking; return False if the buffer is full or the other end is closed."""
         ancillary = []
         if connection is not None:
             ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [connection.fileno()]))]
@@ -65,7 +65,7 @@
         return True
 
     async def receive(self) -> PassedMessage:
-        """Return the next message; its data is empty when the other end is gone."""
+        """Return the next message; its data is empty if the other end is closed."""
         try:
             data, ancillary, _, _ = await self._sock.recvmsg(
                 MAX_MESSAGE_BYTES, socket.CMSG_SPACE(DESCRIPTOR_BYTES)
@@ -79,7 +79,7 @@
         return PassedMessage(data, None)
 
     def close(self) -> None:
-        """Close this end; the other one receives an empty message."""
+        """Close this end; the other end receives an empty message."""
         self._sock.close()
 
 
@@ -94,8 +94,8 @@
     def deliver(self, connection: socket.socket) -> None:
         """Queue a connection for `accept`.
 
-        Connections beyond the queue's limit are closed, and their clients connect again: queued without a
-        limit they would take memory and descriptors that the worker never gets to use.
+        If the queue is full, the connection is closed and its client has to reconnect: an unbounded queue
+        would hold memory and descriptors of connections that the worker never gets to serve.
         """
         try:
             self._sender.send_nowait(connection)
@@ -104,7 +104,7 @@
 
     @property
     def queued(self) -> int:
-        """Connections that wait for `accept`."""
+        """Number of connections waiting for `accept`."""
         return self._sender.statistics().current_buffer_used
 
     async def accept(self) -> trio.abc.Stream:
@@ -121,21 +121,21 @@
                 connection.close()
 
     async def aclose(self) -> None:
-        """Accept what is queued, then no more."""
+        """Stop queueing; connections already queued can still be accepted."""
         self._sender.close()
         await trio.lowlevel.checkpoint()
 
 
 class PassedSocketNetwork:
-    """A worker's network: connects by itself, listens by way of its parent."""
+    """A worker's network: connects directly, listens through its parent."""
 
     def __init__(self) -> None:
-        """Start without listeners."""
+        """Create a network without listeners."""
         self.listeners: dict[tuple[str, int], PassedSocketListener] = {}
         self._tcp = TcpNetwork()
 
     async def listen(self, host: str, port: int) -> PassedSocketListener:
-        """Return the listener of this address; the same one each time."""
+        """Return the listener for this address, creating it on first use."""
         await trio.lowlevel.checkpoint()
         return self.listeners.setdefault((host, port), PassedSocketListener(port))
 
@@ -150,10 +150,10 @@
     choose_target: Callable[[], SocketPassing | None],
     retry_s: float = PASS_RETRY_S,
 ) -> None:
-    """Accept connections for ever and pass each to the end that `choose_target` returns.
+    """Accept connections and pass each to the channel that `choose_target` returns.
 
-    While it returns None, or that end takes no more, the connection waits `retry_s` and is offered again; it
-    is closed after `PASS_ATTEMPTS` of these. Raises trio.ClosedResourceError once the listener is closed.
+    If it returns None or the channel is full, passing is retried every `retry_s`; after `PASS_ATTEMPTS`
+    attempts the connection is closed. Raises trio.ClosedResourceError once the listener is closed.
     """
     while True:
         connection = await listener.accept_socket()
--- a/juniperreel/net/stall_monitor.py
+++ b/juniperreel/net/stall_monitor.py
@@ -1,7 +1,7 @@
-"""Measures stalls of the event loop, and limits the time that new work takes of one pass.
+"""Measures event loop stalls, and limits the share of a loop iteration that new work may take.
 
-A trio instrument that records when sockets were last polled. From that follow how late the loop is, and since
-when the bytes just read can have been waiting. It only measures: dropping work is up to others.
+A trio instrument that records when sockets were polled. This gives the lateness of the loop and the earliest
+arrival time of bytes just read. It only measures; shedding load is left to its users.
 """
 
 from __future__ import annotations
@@ -12,66 +12,66 @@
 
 from juniperreel.net.clock import Clock
 
-NEW_WORK_BUDGET_US = 10_000  # of one pass; work that was already accepted has the rest
-BLOCKED_US = 500  # a poll that may wait, and took longer than this, had nothing ready when it began
-MAX_WAIT_S = 0.02  # no poll waits longer: what it finds counts from its beginning
+NEW_WORK_BUDGET_US = 10_000  # per loop iteration; the rest is left to work already accepted
+BLOCKING_POLL_US = 500  # a poll with a timeout that took longer than this found nothing ready at its start
+TICK_INTERVAL_S = 0.02  # bounds the length of a poll, since events are dated to the start of the poll
 
 
 class StallMonitor(trio.abc.Instrument):
-    """Observes the loop of the trio run in which `install` was called; without that nothing is ever late.
+    """Observes the loop of the trio run in which `install` is called; until then no lateness is reported.
 
-    A pass of the loop runs from one poll of the sockets to the next.
+    An iteration of the loop lasts from one poll of the sockets to the next.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with a pass that begins now."""
+        """Create a monitor whose first iteration starts now."""
         self._clock = clock
         self.poll_count = 0
-        self.last_poll_blocked = False  # it found nothing ready when it began
+        self.last_poll_blocked = False  # nothing was ready at its start
         self._polled_us = clock.now_us()
         self._poll_entered_us = self._polled_us
         self._previous_poll_entered_us = self._polled_us
         self._ticker: trio.CancelScope | None = None
         self._ready_since_us = self._polled_us
-        self._new_work_ns = 0  # taken of this pass by new work
-        self._longest_pass_us = 0  # since the last call of `take_longest_pass_us`, without new work
+        self._new_work_ns = 0  # time spent on new work in this iteration
+        self._longest_iteration_us = 0  # since the last `take_longest_pass_us`, excluding new work
 
     def install(self) -> None:
-        """Begin to observe the current trio run."""
+        """Start observing the current trio run."""
         trio.lowlevel.add_instrument(self)
         self._ticker = trio.CancelScope()
         trio.lowlevel.spawn_system_task(self._tick, self._ticker)
 
     def uninstall(self) -> None:
-        """End the observation."""
+        """Stop observing."""
         trio.lowlevel.remove_instrument(self)
         if self._ticker is not None:
             self._ticker.cancel()
 
     @staticmethod
     async def _tick(scope: trio.CancelScope) -> None:
-        """Have the loop poll its sockets often, whatever else it has to do."""
+        """Wake the loop periodically, so that no poll waits longer than `TICK_INTERVAL_S`."""
         with scope:
             while True:
-                await trio.sleep(MAX_WAIT_S)
+                await trio.sleep(TICK_INTERVAL_S)
 
     def before_io_wait(self, _timeout: float) -> None:
-        """Note the end of a pass; called by trio."""
+        """Record the end of an iteration; called by trio."""
         now_us = self._clock.now_us()
         self._previous_poll_entered_us = self._poll_entered_us
         self._poll_entered_us = now_us
-        pass_us = now_us - self._polled_us - self._new_work_ns // 1000
-        if pass_us > self._longest_pass_us:
-            self._longest_pass_us = pass_us
+        iteration_us = now_us - self._polled_us - self._new_work_ns // 1000
+        if iteration_us > self._longest_iteration_us:
+            self._longest_iteration_us = iteration_us
 
     def after_io_wait(self, timeout: float) -> None:
-        """Note the start of the next pass; called by trio.
+        """Record the start of the next iteration; called by trio.
 
-        The process may have been held up anywhere in the poll, so its end says nothing of when what it found
-        became ready.
+        The process may have been stalled during the poll, so the end of the poll gives no bound on when the
+        sockets it found became ready.
         """
         now_us = self._clock.now_us()
-        self.last_poll_blocked = timeout > 0 and now_us - self._poll_entered_us > BLOCKED_US
+        self.last_poll_blocked = timeout > 0 and now_us - self._poll_entered_us > BLOCKING_POLL_US
         self._ready_since_us = (
             self._poll_entered_us if self.last_poll_blocked else self._previous_poll_entered_us
         )
@@ -81,28 +81,27 @@
 
     @property
     def ready_since_us(self) -> int:
-        """The earliest time at which a socket that the last poll found readable may have become so."""
+        """Earliest time at which the sockets found by the last poll may have become readable."""
         return self._ready_since_us
 
     def take_longest_pass_us(self) -> int:
-        """Return the longest pass since the last call, without the time that new work took of it."""
-        longest_us = self._longest_pass_us
-        self._longest_pass_us = 0
+        """Return the longest iteration since the last call, excluding time spent on new work."""
+        longest_us = self._longest_iteration_us
+        self._longest_iteration_us = 0
         return longest_us
 
     async def wait_for_new_work_budget(self) -> None:
-        """Return when new work may take time of a pass.
+        """Wait until the current iteration has budget left for new work.
 
-        The bytes of thousands of new requests, read in one pass, would keep the loop from the requests that
-        it has accepted for seconds.
+        Reading thousands of new requests in one iteration would delay requests already accepted by seconds.
         """
         while self._new_work_ns > NEW_WORK_BUDGET_US * 1000:
             await trio.lowlevel.checkpoint()
 
     def begin_new_work(self) -> int:
-        """Return the start time to hand to `end_new_work`."""
+        """Return the start time to pass to `end_new_work`."""
         return time.perf_counter_ns()
 
     def end_new_work(self, started_ns: int) -> None:
-        """Charge the time since `started_ns` to the budget of this pass."""
+        """Charge the time since `started_ns` to the budget of this iteration."""
         self._new_work_ns += time.perf_counter_ns() - started_ns
--- a/juniperreel/net/transport.py
+++ b/juniperreel/net/transport.py
@@ -1,6 +1,7 @@
-"""Connections on a `Poller`: a transport moves the bytes, its protocol is told of them.
+"""TCP connections on a `Poller`: a transport moves bytes, its protocol handles them.
 
-The division and the verbs are asyncio's. Nothing here knows what the bytes mean.
+The division of roles and the method names follow asyncio. This module is independent of the application
+protocol.
 """
 
 from __future__ import annotations
@@ -13,43 +14,46 @@
 from juniperreel.net.network import address_family
 from juniperreel.net.poller import Poller
 
-READ_BYTES = 65_536  # by one call of recv at most
-MEMORY_EXHAUSTION_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})  # for a moment, and not of the connection
+READ_BYTES = 65_536  # limit per read event
+MEMORY_EXHAUSTION_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})  # transient; the connection is intact
 READ_EVENTS = select.EPOLLIN | select.EPOLLRDHUP
 HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class Protocol(typing.Protocol):
-    """The owner of a transport, which calls it when something happened on the connection.
+    """Receives the events of a transport.
 
-    `eof_is_disconnect`: a peer that ends its sending is gone, and what it sent before is of no use to
-    anybody. Otherwise what came before the end of the stream is read first.
+    If `eof_is_disconnect`, end of stream means that the peer is gone, and unread data before it is discarded.
+    Otherwise data before the end of the stream is delivered first.
     """
 
     eof_is_disconnect: bool
 
     def connection_made(self) -> None:
-        """A connection that was opened by `connect` is established."""
+        """Called when a connection opened by `connect` is established."""
         ...
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Called with received bytes."""
         ...
 
     def connection_lost(self, reason: str, /) -> None:
-        """The peer closed or broke the connection, or it was never established; the transport is closed."""
+        """Called when the connection was closed or broken, or could not be established.
+
+        The transport is already closed.
+        """
         ...
 
 
 class Transport:
-    """One connection, with a buffer for what the kernel does not take at once.
+    """One connection, with a write buffer for bytes that the kernel does not accept at once.
 
-    Owns its socket. `connection_lost` is called only for an end that the peer or the network caused, never
-    for a call of `close`.
+    Owns its socket. `connection_lost` is called when the peer or the network ended the connection and after
+    `abort`, never after `close`.
     """
 
     def __init__(self, poller: Poller, connection: socket.socket, connecting: bool = False) -> None:
-        """Take over a non-blocking socket; `connecting` says that it is not established yet."""
+        """Take ownership of a non-blocking socket; `connecting` if connect() is still in progress."""
         self._poller = poller
         self._socket = connection
         self.protocol: Protocol | None = None
@@ -64,7 +68,7 @@
 
     @property
     def write_buffer_size(self) -> int:
-        """Bytes that were written and that the kernel has not taken yet."""
+        """Number of bytes written but not yet accepted by the kernel."""
         return len(self._write_buffer)
 
     def _update_events(self) -> None:
@@ -76,20 +80,20 @@
             self._poller.change(self._socket.fileno(), mask)
 
     def pause_reading(self) -> None:
-        """Read no more for now. The peer's end of the connection is still reported."""
+        """Pause reading. A disconnect of the peer is still reported."""
         self._reading_paused = True
         self._update_events()
 
     def resume_reading(self) -> None:
-        """Read again after `pause_reading`."""
+        """Resume reading after `pause_reading`."""
         self._reading_paused = False
         self._update_events()
 
     def write(self, data: bytes | bytearray) -> None:
-        """Send now what the kernel takes and buffer the rest; never waits.
+        """Send what the kernel accepts now and buffer the rest; never blocks.
 
-        A connection that turns out to be broken is reported by the poller, through `connection_lost`. Dropped
-        once the transport is closed or `write_eof` was called.
+        A broken connection is reported later, by the poller through `connection_lost`. Data is dropped once
+        the transport is closed or `write_eof` was called.
         """
         if self.closed or self._eof_requested:
             return
@@ -107,7 +111,7 @@
         self._update_events()
 
     def has_nothing_to_read(self) -> bool:
-        """Return whether the connection is open and neither bytes nor the end of the stream wait unread."""
+        """Return whether the connection is open and neither data nor end of stream is pending."""
         if self.closed:
             return False
         try:
@@ -119,9 +123,9 @@
         return False
 
     def peer_has_left(self) -> bool:
-        """Return whether the peer has ended its side or broken the connection, as the kernel knows it now.
+        """Return whether the kernel has already seen the peer close or break the connection.
 
-        The poller reports that later: with its next poll, and behind what the poll found before it.
+        The poller reports this only with its next poll, after the events of the current one.
         """
         if self.closed:
             return True
@@ -131,22 +135,22 @@
             return False
         except OSError:
             return True
-        return not first_byte or self._hangs_up_behind_unread_bytes()
+        return not first_byte or self._has_hang_up_event()
 
-    def _hangs_up_behind_unread_bytes(self) -> bool:
+    def _has_hang_up_event(self) -> bool:
         poll = select.poll()
         poll.register(self._socket, HANG_UP_EVENTS)
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """Close at once; what is buffered is lost."""
+        """Close immediately, discarding the write buffer."""
         if not self.closed:
             self.closed = True
             self._poller.remove(self._socket.fileno())
             self._socket.close()
 
     def abort(self, reason: str) -> None:
-        """Close at once, and tell the protocol as if the connection was lost."""
+        """Close immediately and call `connection_lost` on the protocol."""
         if self.closed:
             return
         if self.protocol is None:
@@ -155,11 +159,11 @@
             self._disconnect(self.protocol, reason)
 
     def write_eof(self) -> None:
-        """End the connection in order: send what is buffered, then the end of the stream.
+        """Shut down the write side once the buffer is flushed.
 
-        What still arrives stays unread: a request that crosses the end was not read, and its sender sends it
-        elsewhere. The peer's own end is reported by `connection_lost`. To close sooner, with bytes unread,
-        would reset the connection, and the network would discard the last bytes written. The caller bounds
+        Data that still arrives stays unread: a request that crosses the shutdown is not processed, and its
+        client retries it elsewhere. The peer's close is reported by `connection_lost`. Closing earlier, with
+        unread data, would reset the connection, which discards the last bytes written. The caller must limit
         the wait.
         """
         if not self.closed and not self._eof_requested:
@@ -173,12 +177,12 @@
             try:
                 self._socket.shutdown(socket.SHUT_WR)
             except OSError:
-                self.close()  # it is broken already
+                self.close()  # already broken
                 return
         self._update_events()
 
     def handle_event(self, mask: int) -> None:
-        """React to the epoll events in `mask`."""
+        """Handle the epoll events in `mask`."""
         protocol = self.protocol
         if protocol is None:
             self.close()
@@ -189,8 +193,7 @@
         if mask & select.EPOLLOUT and self._write_buffer and not self._flush(protocol):
             return
         broken = mask & (select.EPOLLERR | select.EPOLLHUP)
-        # A request read together with its sender's end of the stream would be forwarded although nobody waits
-        # for its answer.
+        # A request read together with the end of its stream would be forwarded although its client is gone.
         disconnected = mask & select.EPOLLRDHUP and (self._reading_paused or protocol.eof_is_disconnect)
         if disconnected or (broken and (self._reading_paused or self._eof_requested)):
             self._disconnect(protocol, "closed")
@@ -209,7 +212,7 @@
         protocol.connection_made()
 
     def _flush(self, protocol: Protocol) -> bool:
-        """Send what is buffered; return False where the connection is lost."""
+        """Send buffered bytes; return False if the connection is lost."""
         try:
             sent = self._socket.send(self._write_buffer)
             del self._write_buffer[:sent]
@@ -217,14 +220,14 @@
             pass
         except OSError as error:
             if error.errno in MEMORY_EXHAUSTION_ERRNOS:
-                return True  # the poller reports the socket as writable again
+                return True  # EPOLLOUT is reported again
             self._disconnect(protocol, error.strerror or "broken")
             return False
         self._send_eof_when_flushed()
         return True
 
     def _read(self, protocol: Protocol) -> None:
-        """Pass on what is there, `READ_BYTES` at most; then report an end that was found behind it."""
+        """Deliver pending data, at most `READ_BYTES`, then report a disconnect found after it."""
         data, end_reason = self._receive()
         if data and not self._eof_requested and not (end_reason and protocol.eof_is_disconnect):
             protocol.data_received(data)
@@ -232,9 +235,9 @@
             self._disconnect(protocol, end_reason)
 
     def _receive(self) -> tuple[bytes, str]:
-        """Return the bytes, and why the connection has ended; an empty reason where it has not.
+        """Return pending data and the reason of a disconnect, empty if the connection is open.
 
-        A single read may be short. What it left would be read a turn later, and be taken for younger.
+        A single recv() may be short. The rest would be read one loop iteration later and dated too late.
         """
         data = b""
         while len(data) < READ_BYTES:
@@ -257,9 +260,9 @@
 
 
 def connect(poller: Poller, host: str, port: int) -> Transport:
-    """Begin to connect; the protocol's `connection_made` or `connection_lost` reports the result.
+    """Start connecting; the protocol's `connection_made` or `connection_lost` reports the result.
 
-    Raises OSError where not even a socket can be had.
+    Raises OSError if no socket can be created or connect() fails at once.
     """
     connection = socket.socket(address_family(host), socket.SOCK_STREAM)
     try:
--- a/tests/net/test_accept.py
+++ b/tests/net/test_accept.py
@@ -1,4 +1,4 @@
-"""The accept loop, on a listener in memory."""
+"""The accept loop on an in-memory listener."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MemoryListener:
-    """Yields the streams it is given, and is closed after the last one."""
+    """Yields the given streams, then behaves as closed."""
 
     port = 7
 
@@ -29,7 +29,7 @@
 async def test_serve_connections_on_a_closed_listener_returns_after_its_handlers(
     nursery: trio.Nursery,
 ) -> None:
-    _, theirs = trio.testing.memory_stream_pair()
+    _, server_end = trio.testing.memory_stream_pair()
     release = trio.Event()
     returned = trio.Event()
     handled: list[trio.abc.Stream] = []
@@ -39,7 +39,7 @@
         handled.append(stream)
 
     async def serve(task_status: trio.TaskStatus[int]) -> None:
-        await serve_connections(MemoryListener(theirs), handle, task_status)
+        await serve_connections(MemoryListener(server_end), handle, task_status)
         returned.set()
 
     assert await nursery.start(serve) == MemoryListener.port
@@ -48,30 +48,30 @@
     release.set()
     with trio.fail_after(5):
         await returned.wait()
-    assert handled == [theirs]
+    assert handled == [server_end]
 
 
 async def test_serve_connections_without_capacity_closes_the_connection() -> None:
-    ours, theirs = trio.testing.memory_stream_pair()
+    client_end, server_end = trio.testing.memory_stream_pair()
     handled: list[trio.abc.Stream] = []
 
     async def handle(stream: trio.abc.Stream) -> None:
         handled.append(stream)
 
     await serve_connections(
-        MemoryListener(theirs), handle, trio.TASK_STATUS_IGNORED, has_capacity=lambda: False
+        MemoryListener(server_end), handle, trio.TASK_STATUS_IGNORED, has_capacity=lambda: False
     )
     assert handled == []
     with trio.fail_after(5):
-        assert await ours.receive_some(1) == b""
+        assert await client_end.receive_some(1) == b""
 
 
-async def test_serve_connections_checks_capacity_after_the_pause_of_an_accept() -> None:
-    _, theirs = trio.testing.memory_stream_pair()
+async def test_serve_connections_checks_capacity_after_after_accept() -> None:
+    _, server_end = trio.testing.memory_stream_pair()
     order: list[str] = []
 
-    async def pause() -> None:
-        order.append("pause")
+    async def after_accept() -> None:
+        order.append("after_accept")
 
     def has_capacity() -> bool:
         order.append("capacity")
@@ -81,10 +81,10 @@
         order.append("handle")
 
     await serve_connections(
-        MemoryListener(theirs),
+        MemoryListener(server_end),
         handle,
         trio.TASK_STATUS_IGNORED,
         has_capacity=has_capacity,
-        after_accept=pause,
+        after_accept=after_accept,
     )
-    assert order == ["pause", "capacity", "handle"]
+    assert order == ["after_accept", "capacity", "handle"]
--- a/tests/net/test_accept_pause.py
+++ b/tests/net/test_accept_pause.py
@@ -1,4 +1,4 @@
-"""How long nothing is accepted after a failure."""
+"""Backoff after failed accept() calls."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import trio
 import trio.testing
 
-from juniperreel.net.accept_pause import FIRST_PAUSE_US, LAST_PAUSE_US, AcceptPause
+from juniperreel.net.accept_pause import MAX_DELAY_US, MIN_DELAY_US, AcceptBackoff
 from juniperreel.net.network import TcpListener
 
 
 class FailingSocket:
-    """A listening socket whose accept fails so many times for want of descriptors."""
+    """A listening socket whose `accept` fails with ENFILE the given number of times."""
 
     def __init__(self, failures: int) -> None:
         self.failures = failures
@@ -30,19 +30,19 @@
         return "connection", "peer"
 
 
-def test_pause_doubles_up_to_its_longest_and_begins_anew() -> None:
-    pause = AcceptPause()
-    lengths = []
+def test_delay_doubles_up_to_the_maximum_and_is_reset() -> None:
+    backoff = AcceptBackoff()
+    delays = []
     for _ in range(9):
-        pause.lengthen()
-        lengths.append(pause.us)
-    assert lengths[:3] == [FIRST_PAUSE_US, 2 * FIRST_PAUSE_US, 4 * FIRST_PAUSE_US]
-    assert lengths[-2:] == [LAST_PAUSE_US, LAST_PAUSE_US]
-    pause.reset()
-    assert pause.us == 0
+        backoff.record_failure()
+        delays.append(backoff.delay_us)
+    assert delays[:3] == [MIN_DELAY_US, 2 * MIN_DELAY_US, 4 * MIN_DELAY_US]
+    assert delays[-2:] == [MAX_DELAY_US, MAX_DELAY_US]
+    backoff.reset()
+    assert backoff.delay_us == 0
 
 
-async def test_a_crowd_does_not_wait_long_for_each_failed_accept(
+async def test_single_failures_in_a_burst_do_not_add_up_to_longer_delays(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     socket: Any = FailingSocket(failures=1)
@@ -51,4 +51,4 @@
     for _ in range(10):
         await listener.accept_socket()
         socket.failures = 1
-    assert autojump_clock.current_time() - started == pytest.approx(10 * FIRST_PAUSE_US / 1e6)
+    assert autojump_clock.current_time() - started == pytest.approx(10 * MIN_DELAY_US / 1e6)
--- a/tests/net/test_ports.py
+++ b/tests/net/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are kept for whoever comes back to them."""
+"""Reserved ports, for servers that restart on the same port."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 from juniperreel.net import ConnectRefusedError, ReservedPort, TcpNetwork, hung_up
 
 
-async def test_a_held_port_is_its_owners_whenever_it_comes_back() -> None:
-    network, held = TcpNetwork(), ReservedPort()
+async def test_server_can_listen_on_its_reserved_port_repeatedly() -> None:
+    network, reserved = TcpNetwork(), ReservedPort()
     for _ in range(3):
         with pytest.raises(ConnectRefusedError):
-            await network.connect("127.0.0.1", held.port, 5_000_000)
-        listener = await network.listen("127.0.0.1", held.port)
-        stream = await network.connect("127.0.0.1", held.port, 5_000_000)
-        ours = await listener.accept()
-        assert listener.port == held.port
-        assert not hung_up(ours)
+            await network.connect("127.0.0.1", reserved.port, 5_000_000)
+        listener = await network.listen("127.0.0.1", reserved.port)
+        stream = await network.connect("127.0.0.1", reserved.port, 5_000_000)
+        server_end = await listener.accept()
+        assert listener.port == reserved.port
+        assert not hung_up(server_end)
         await stream.aclose()
-        assert hung_up(ours)
-        await ours.aclose()
+        assert hung_up(server_end)
+        await server_end.aclose()
         await listener.aclose()
-    held.close()
+    reserved.close()
 
 
-async def test_nobody_is_given_a_held_port_for_their_own_end() -> None:
-    """Every free port of the system is taken by some connection's end at last; this one never is."""
-    held = [ReservedPort() for _ in range(50)]
-    kept = {h.port for h in held}
+async def test_reserved_ports_are_not_used_as_ephemeral_ports() -> None:
+    """An outgoing connection must not occupy the port of a server that is about to restart."""
+    reserved = [ReservedPort() for _ in range(50)]
+    reserved_numbers = {reservation.port for reservation in reserved}
     network = TcpNetwork()
     listener = await network.listen("127.0.0.1", 0)
     with trio.fail_after(60):
         for _ in range(300):
             stream = await network.connect("127.0.0.1", listener.port, 5_000_000)
             assert isinstance(stream, trio.SocketStream)
-            assert stream.socket.getsockname()[1] not in kept
+            assert stream.socket.getsockname()[1] not in reserved_numbers
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             await stream.aclose()
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
-        other.bind(("127.0.0.1", held[0].port))
+        other.bind(("127.0.0.1", reserved[0].port))
     await listener.aclose()
-    for port in held:
+    for port in reserved:
         port.close()
--- a/tests/net/test_readiness_times.py
+++ b/tests/net/test_readiness_times.py
@@ -1,7 +1,7 @@
-"""Since when what a poll finds may have been ready: never later than it was, whatever held the process up.
+"""Lower bounds on when sockets became ready, which must hold even if the process was stalled.
 
-A time that is taken at the end of a wait says nothing of a hold-up within it, so what is found counts from
-the last moment at which nothing was there.
+A timestamp taken after a wait cannot reveal a stall during the wait, so events are dated to the last poll
+that found nothing. If the bound were too late, the age of a request would be underestimated.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from juniperreel.net.poller import Poller
 from juniperreel.net.stall_monitor import StallMonitor
 
-HELD_UP_S = 0.3
-FRESH_US = 150_000  # what is counted beyond the hold-up, on a machine that has much else to do
-SECONDS = 30
+STALL_S = 0.3
+TOLERANCE_US = 150_000  # beyond the stall, for scheduling delays on a loaded machine
+TIMEOUT_S = 30
 
 
-class Owner:
-    """Notes when it was called, and reads what is there."""
+class RecordingHandler:
+    """Records that it was called, and reads one byte."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -35,23 +35,23 @@
         self.sock.recv(1)
 
 
-class Setting:
-    """A poller that watches one end of each pair."""
+class PollerHarness:
+    """A poller with one end of each socket pair registered."""
 
     def __init__(self, count: int) -> None:
         self.clock = Clock()
         self.poller = Poller(self.clock)
         self.pairs = [socket.socketpair() for _ in range(count)]
-        self.owners = [Owner(mine) for mine, _ in self.pairs]
-        for owner in self.owners:
-            self.poller.add(owner.sock.fileno(), select.EPOLLIN, owner)
-
-    def send_and_hold_up(self) -> int:
-        """Send to all, and let nothing run for a while; return when that was."""
-        for _, other in self.pairs:
-            other.send(b"x")
+        self.handlers = [RecordingHandler(local) for local, _ in self.pairs]
+        for handler in self.handlers:
+            self.poller.add(handler.sock.fileno(), select.EPOLLIN, handler)
+
+    def send_and_stall(self) -> int:
+        """Send on all pairs, then stall the process; return the send time."""
+        for _, remote in self.pairs:
+            remote.send(b"x")
         sent_us = self.clock.now_us()
-        time.sleep(HELD_UP_S)
+        time.sleep(STALL_S)
         return sent_us
 
     def close(self) -> None:
@@ -62,79 +62,79 @@
 
 
 @pytest.fixture
-async def setting() -> AsyncIterator[Setting]:
-    it = Setting(5)
-    yield it
-    it.close()
+async def harness() -> AsyncIterator[PollerHarness]:
+    created = PollerHarness(5)
+    yield created
+    created.close()
 
 
-async def test_what_comes_while_a_wait_is_held_up_is_not_counted_from_its_end(setting: Setting) -> None:
+async def test_events_during_a_stalled_wait_are_not_dated_to_its_end(harness: PollerHarness) -> None:
     sent: list[int] = []
 
-    async def hold_up() -> None:
+    async def send_and_stall_later() -> None:
         await trio.sleep(0.1)
-        sent.append(setting.send_and_hold_up())
+        sent.append(harness.send_and_stall())
 
-    with trio.fail_after(SECONDS):
+    with trio.fail_after(TIMEOUT_S):
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hold_up)
-            await setting.poller.wait(None)
-    assert sent[0] - FRESH_US < setting.poller.ready_since_us <= sent[0]
+            nursery.start_soon(send_and_stall_later)
+            await harness.poller.wait(None)
+    assert sent[0] - TOLERANCE_US < harness.poller.ready_since_us <= sent[0]
 
 
-async def test_what_the_first_look_finds_counts_from_the_look_before(
-    setting: Setting, monkeypatch: pytest.MonkeyPatch
+async def test_events_found_by_the_first_poll_are_dated_to_the_previous_poll(
+    harness: PollerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Held up behind the look, the wait seems to have lasted; nothing was waited for."""
+    """A stall after the first poll looks like a long wait, although the events were there before it."""
     with trio.move_on_after(0.01):
-        await setting.poller.wait(None)
-    sent_us = setting.send_and_hold_up()
-    look = setting.poller._poll
+        await harness.poller.wait(None)
+    sent_us = harness.send_and_stall()
+    original_poll = harness.poller._poll
 
-    def held_up() -> None:
-        look()
-        time.sleep(HELD_UP_S)
+    def stalled_poll() -> None:
+        original_poll()
+        time.sleep(STALL_S)
 
-    monkeypatch.setattr(setting.poller, "_poll", held_up)
-    with trio.fail_after(SECONDS):
-        await setting.poller.wait(None)
-    assert setting.poller.ready_since_us <= sent_us
+    monkeypatch.setattr(harness.poller, "_poll", stalled_poll)
+    with trio.fail_after(TIMEOUT_S):
+        await harness.poller.wait(None)
+    assert harness.poller.ready_since_us <= sent_us
 
 
-async def test_what_did_not_fit_into_one_poll_counts_from_before_it(
-    setting: Setting, monkeypatch: pytest.MonkeyPatch
+async def test_events_beyond_max_events_are_dated_to_before_the_full_poll(
+    harness: PollerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(poller, "MAX_EVENTS", 2)
     with trio.move_on_after(0.01):
-        await setting.poller.wait(None)
-    sent_us = setting.send_and_hold_up()
-    with trio.fail_after(SECONDS):
-        while not all(owner.called for owner in setting.owners):
-            await setting.poller.wait(None)
-            assert setting.poller.ready_since_us <= sent_us
-            setting.poller.dispatch()
+        await harness.poller.wait(None)
+    sent_us = harness.send_and_stall()
+    with trio.fail_after(TIMEOUT_S):
+        while not all(handler.called for handler in harness.handlers):
+            await harness.poller.wait(None)
+            assert harness.poller.ready_since_us <= sent_us
+            harness.poller.dispatch()
 
 
-async def test_what_comes_later_does_not_count_from_a_poll_that_was_full(
-    setting: Setting, monkeypatch: pytest.MonkeyPatch
+async def test_later_events_are_not_dated_to_a_full_poll(
+    harness: PollerHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(poller, "MAX_EVENTS", 2)
-    setting.send_and_hold_up()
-    with trio.fail_after(SECONDS):
-        while not all(owner.called for owner in setting.owners):
-            await setting.poller.wait(None)
-            setting.poller.dispatch()
+    harness.send_and_stall()
+    with trio.fail_after(TIMEOUT_S):
+        while not all(handler.called for handler in harness.handlers):
+            await harness.poller.wait(None)
+            harness.poller.dispatch()
         for _ in range(2):
             with trio.move_on_after(0.1):
-                await setting.poller.wait(None)
-        sent_us = setting.clock.now_us()
-        setting.pairs[0][1].send(b"x")
-        await setting.poller.wait(None)
-    assert setting.poller.ready_since_us > sent_us - FRESH_US
+                await harness.poller.wait(None)
+        sent_us = harness.clock.now_us()
+        harness.pairs[0][1].send(b"x")
+        await harness.poller.wait(None)
+    assert harness.poller.ready_since_us > sent_us - TOLERANCE_US
 
 
-class SteppedClock(Clock):
-    """A clock that the test sets."""
+class ManualClock(Clock):
+    """A clock whose time is set by the test."""
 
     def __init__(self) -> None:
         super().__init__(0)
@@ -144,8 +144,8 @@
         return self.time_us
 
 
-def test_a_monitored_loop_counts_from_the_beginning_of_a_poll_that_was_held_up() -> None:
-    clock = SteppedClock()
+def test_stall_monitor_dates_events_to_the_start_of_a_stalled_poll() -> None:
+    clock = ManualClock()
     monitor = StallMonitor(clock)
     monitor.before_io_wait(0.02)
     entered_us = clock.time_us
@@ -154,24 +154,24 @@
     assert monitor.ready_since_us == entered_us
 
 
-async def test_a_monitored_loop_does_not_wait_for_long_at_a_time() -> None:
-    """Otherwise what comes at the end of a long wait would count from its beginning."""
+async def test_stall_monitor_limits_the_length_of_polls() -> None:
+    """Otherwise events at the end of a long poll would be dated to its start."""
     clock = Clock()
     monitor = StallMonitor(clock)
     monitor.install()
     try:
-        mine, other = socket.socketpair()
-        with mine, other:
-            mine.setblocking(False)
+        local, remote = socket.socketpair()
+        with local, remote:
+            local.setblocking(False)
 
             async def send() -> int:
                 await trio.sleep(1)
-                other.send(b"x")
+                remote.send(b"x")
                 return clock.now_us()
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(trio.lowlevel.wait_readable, mine)
+                nursery.start_soon(trio.lowlevel.wait_readable, local)
                 sent_us = await send()
-            assert monitor.ready_since_us > sent_us - FRESH_US
+            assert monitor.ready_since_us > sent_us - TOLERANCE_US
     finally:
         monitor.uninstall()
--- a/tests/net/test_system_call_failures.py
+++ b/tests/net/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, in ways that Linux documents: no connection is lost by them."""
+"""Transient system call failures, as documented by Linux, must not cost any other connection."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 TIMEOUT_S = 30
 
 
-class Receiver:
-    """A protocol that notes what its transport tells it."""
+class RecordingProtocol:
+    """A protocol that records the events of its transport."""
 
     eof_is_disconnect = True
 
@@ -36,18 +36,18 @@
         self.lost.append(reason)
 
 
-class Setting:
-    """A listener on a poller; `faults` are injected into all sockets made in the test."""
+class AcceptorHarness:
+    """A listener on a poller. `faults` apply to all sockets created in the test."""
 
     def __init__(self, faults: InjectedFaults) -> None:
         self.faults = faults
         self.poller = Poller(Clock())
         self.accepted: list[Transport] = []
-        self.waiting_since_us: list[int] = []  # of each accepted connection
+        self.waiting_since_us: list[int] = []  # one per accepted connection
         self.acceptor = Acceptor(self.poller, "127.0.0.1", 0, self._on_accepted)
 
     def _on_accepted(self, transport: Transport) -> None:
-        transport.protocol = Receiver()
+        transport.protocol = RecordingProtocol()
         self.accepted.append(transport)
         self.waiting_since_us.append(self.acceptor.waiting_since_us)
 
@@ -60,156 +60,156 @@
         self.poller.dispatch()
 
     def fail_next(self, kind: FaultKind, number: int) -> None:
-        """Have the next call of this kind fail with this error, and no other call."""
+        """Make only the next call of this kind fail, with errno `number`."""
         self.faults.next_errnos[kind] = number
 
 
 @pytest.fixture
 def faults(monkeypatch: pytest.MonkeyPatch) -> InjectedFaults:
-    made = InjectedFaults({}, seed=1)
-    monkeypatch.setattr(FaultySocket, "faults", made)
+    injected = InjectedFaults({}, seed=1)
+    monkeypatch.setattr(FaultySocket, "faults", injected)
     monkeypatch.setattr(socket, "socket", FaultySocket)
-    return made
+    return injected
 
 
-async def accepting_goes_on_after_one_connection_could_not_be_prepared(setting: Setting) -> None:
-    with setting.connect() as unlucky, setting.connect():
-        setting.fail_next(FaultKind.SOCKET_OPTION, errno.ENOBUFS)
-        await setting.poll_once()
-        assert setting.faults.counts[FaultKind.SOCKET_OPTION] == 1
-        assert len(setting.accepted) == 1
-        assert unlucky.recv(1) == b""  # it was closed, not forgotten
+async def accept_continues_after_a_failed_setsockopt(harness: AcceptorHarness) -> None:
+    with harness.connect() as failed_client, harness.connect():
+        harness.fail_next(FaultKind.SOCKET_OPTION, errno.ENOBUFS)
+        await harness.poll_once()
+        assert harness.faults.counts[FaultKind.SOCKET_OPTION] == 1
+        assert len(harness.accepted) == 1
+        assert failed_client.recv(1) == b""  # closed, not leaked
 
 
-async def accepting_goes_on_after_one_connection_could_not_be_polled(setting: Setting) -> None:
-    add = setting.poller.add
+async def accept_continues_after_a_failed_epoll_registration(harness: AcceptorHarness) -> None:
+    add = harness.poller.add
 
     def fail_once(*_: object) -> None:
-        setting.poller.add = add  # type: ignore[method-assign]
-        raise OSError(errno.ENOSPC, "no watch is left")
-
-    setting.poller.add = fail_once  # type: ignore[method-assign, assignment]
-    with setting.connect() as unlucky, setting.connect():
-        await setting.poll_once()
-        assert len(setting.accepted) == 1
-        assert unlucky.recv(1) == b""
-
-
-async def a_listener_is_closed_only_once_all_that_wait_are_accepted(setting: Setting) -> None:
-    with setting.connect(), setting.connect():
-        setting.fail_next(FaultKind.ACCEPT, errno.ENFILE)
-        setting.acceptor.close()
-        assert setting.acceptor.is_open
-        assert setting.accepted == []
-        setting.acceptor.close()
-        assert not setting.acceptor.is_open
-        assert len(setting.accepted) == 2
-
-
-async def a_connection_that_comes_long_after_a_failure_has_not_waited_since(setting: Setting) -> None:
-    """Danger: its request would be rejected at once, as one whose time is over."""
-    setting.fail_next(FaultKind.ACCEPT, errno.ENFILE)
-    setting.acceptor.handle_event(select.EPOLLIN)  # and nobody waits behind the failure
-    due_us = setting.acceptor.retry_due_us()
+        harness.poller.add = add  # type: ignore[method-assign]
+        raise OSError(errno.ENOSPC, "epoll watch limit reached")
+
+    harness.poller.add = fail_once  # type: ignore[method-assign, assignment]
+    with harness.connect() as failed_client, harness.connect():
+        await harness.poll_once()
+        assert len(harness.accepted) == 1
+        assert failed_client.recv(1) == b""
+
+
+async def listener_closes_only_after_draining_its_accept_queue(harness: AcceptorHarness) -> None:
+    with harness.connect(), harness.connect():
+        harness.fail_next(FaultKind.ACCEPT, errno.ENFILE)
+        harness.acceptor.close()
+        assert harness.acceptor.is_open
+        assert harness.accepted == []
+        harness.acceptor.close()
+        assert not harness.acceptor.is_open
+        assert len(harness.accepted) == 2
+
+
+async def connection_long_after_a_failed_accept_is_not_dated_to_it(harness: AcceptorHarness) -> None:
+    """Otherwise its request would be rejected at once as past its deadline."""
+    harness.fail_next(FaultKind.ACCEPT, errno.ENFILE)
+    harness.acceptor.handle_event(select.EPOLLIN)  # the accept queue is empty after the failure
+    due_us = harness.acceptor.retry_due_us()
     assert due_us is not None
-    setting.acceptor.retry(due_us)
-    retried_us = setting.poller.clock.now_us()
+    harness.acceptor.retry(due_us)
+    retried_us = harness.poller.clock.now_us()
     with trio.move_on_after(0.05):
-        await setting.poller.wait(None)
-    with setting.connect():
-        await setting.poll_once()
-        (waiting_since_us,) = setting.waiting_since_us
+        await harness.poller.wait(None)
+    with harness.connect():
+        await harness.poll_once()
+        (waiting_since_us,) = harness.waiting_since_us
         assert waiting_since_us >= retried_us
 
 
-async def a_connection_that_waited_through_failures_has_waited_since_the_first(setting: Setting) -> None:
-    with setting.connect():
+async def connection_pending_during_failed_accepts_is_dated_to_the_first(harness: AcceptorHarness) -> None:
+    with harness.connect():
         first_us = 0
         for _ in range(3):
-            setting.fail_next(FaultKind.ACCEPT, errno.ENFILE)
-            setting.acceptor.handle_event(select.EPOLLIN)
-            first_us = first_us or setting.acceptor.waiting_since_us
-            due_us = setting.acceptor.retry_due_us()
+            harness.fail_next(FaultKind.ACCEPT, errno.ENFILE)
+            harness.acceptor.handle_event(select.EPOLLIN)
+            first_us = first_us or harness.acceptor.waiting_since_us
+            due_us = harness.acceptor.retry_due_us()
             assert due_us is not None
-            setting.acceptor.retry(due_us)
-        await setting.poll_once()
-        assert setting.waiting_since_us == [first_us]
+            harness.acceptor.retry(due_us)
+        await harness.poll_once()
+        assert harness.waiting_since_us == [first_us]
         assert first_us
 
 
-async def a_connection_behind_a_full_round_of_acceptances_has_waited_with_the_others(
-    setting: Setting,
+async def connection_left_over_by_a_full_accept_batch_is_dated_like_the_others(
+    harness: AcceptorHarness,
 ) -> None:
-    setting.acceptor.ACCEPTS_PER_EVENT = 2
-    with setting.connect(), setting.connect(), setting.connect():
-        await setting.poll_once()
-        await setting.poll_once()
-        first_us, _, last_us = setting.waiting_since_us
+    harness.acceptor.ACCEPTS_PER_EVENT = 2
+    with harness.connect(), harness.connect(), harness.connect():
+        await harness.poll_once()
+        await harness.poll_once()
+        first_us, _, last_us = harness.waiting_since_us
         assert last_us == first_us
 
 
-async def a_connection_that_comes_long_after_a_full_round_of_acceptances_has_not_waited_since(
-    setting: Setting,
+async def connection_long_after_a_full_accept_batch_is_not_dated_to_it(
+    harness: AcceptorHarness,
 ) -> None:
-    setting.acceptor.ACCEPTS_PER_EVENT = 2
-    with setting.connect(), setting.connect():
-        await setting.poll_once()
-        accepted_us = setting.poller.clock.now_us()
+    harness.acceptor.ACCEPTS_PER_EVENT = 2
+    with harness.connect(), harness.connect():
+        await harness.poll_once()
+        accepted_us = harness.poller.clock.now_us()
         with trio.move_on_after(0.05):
-            await setting.poller.wait(None)
-        with setting.connect():
-            await setting.poll_once()
-            assert setting.waiting_since_us[-1] >= accepted_us
+            await harness.poller.wait(None)
+        with harness.connect():
+            await harness.poll_once()
+            assert harness.waiting_since_us[-1] >= accepted_us
 
 
-async def what_a_short_read_leaves_is_read_in_the_same_turn(setting: Setting) -> None:
-    """Danger: a turn later it would count from after a hold-up in which it had come."""
-    setting.faults.rates[FaultKind.SHORT_READ] = 1.0
-    with setting.connect() as client:
-        await setting.poll_once()
+async def rest_of_a_short_read_is_read_in_the_same_iteration(harness: AcceptorHarness) -> None:
+    """If it were read in the next iteration, data from before a stall would be dated to after it."""
+    harness.faults.rates[FaultKind.SHORT_READ] = 1.0
+    with harness.connect() as client:
+        await harness.poll_once()
         client.sendall(b"x" * 1000)
-        await setting.poll_once()
-        (transport,) = setting.accepted
-        receiver = transport.protocol
-        assert isinstance(receiver, Receiver)
-        assert len(receiver.received) == 1000
-        assert setting.faults.counts[FaultKind.SHORT_READ] > 1
-
-
-async def what_is_read_together_with_the_end_of_a_client_is_not_passed_on(setting: Setting) -> None:
-    """Danger: it would be forwarded although nobody waits for its answer."""
-    with setting.connect() as client:
-        await setting.poll_once()
-        (transport,) = setting.accepted
-        receiver = transport.protocol
-        assert isinstance(receiver, Receiver)
+        await harness.poll_once()
+        (transport,) = harness.accepted
+        protocol = transport.protocol
+        assert isinstance(protocol, RecordingProtocol)
+        assert len(protocol.received) == 1000
+        assert harness.faults.counts[FaultKind.SHORT_READ] > 1
+
+
+async def data_read_together_with_a_client_disconnect_is_discarded(harness: AcceptorHarness) -> None:
+    """It would be forwarded although its client is gone."""
+    with harness.connect() as client:
+        await harness.poll_once()
+        (transport,) = harness.accepted
+        protocol = transport.protocol
+        assert isinstance(protocol, RecordingProtocol)
         client.sendall(b"request")
-    transport.handle_event(select.EPOLLIN)  # found before the end came
-    assert receiver.received == b""
-    assert receiver.lost == ["closed"]
-
-
-async def what_an_endpoint_sent_before_its_end_is_passed_on(setting: Setting) -> None:
-    with setting.connect() as endpoint:
-        await setting.poll_once()
-        (transport,) = setting.accepted
-        receiver = transport.protocol
-        assert isinstance(receiver, Receiver)
-        receiver.eof_is_disconnect = False
+    transport.handle_event(select.EPOLLIN)  # polled before the end of stream arrived
+    assert protocol.received == b""
+    assert protocol.lost == ["closed"]
+
+
+async def data_sent_by_an_endpoint_before_its_end_of_stream_is_delivered(harness: AcceptorHarness) -> None:
+    with harness.connect() as endpoint:
+        await harness.poll_once()
+        (transport,) = harness.accepted
+        protocol = transport.protocol
+        assert isinstance(protocol, RecordingProtocol)
+        protocol.eof_is_disconnect = False
         endpoint.sendall(b"reply")
-    await setting.poll_once()
-    assert receiver.received == b"reply"
-    assert receiver.lost == ["closed"]
+    await harness.poll_once()
+    assert protocol.received == b"reply"
+    assert protocol.lost == ["closed"]
 
 
-async def what_is_buffered_is_sent_when_the_system_has_memory_again(setting: Setting) -> None:
-    with setting.connect() as client:
-        await setting.poll_once()
-        (transport,) = setting.accepted
-        setting.fail_next(FaultKind.WRITE, errno.ENOBUFS)
+async def buffered_data_is_sent_once_memory_is_available(harness: AcceptorHarness) -> None:
+    with harness.connect() as client:
+        await harness.poll_once()
+        (transport,) = harness.accepted
+        harness.fail_next(FaultKind.WRITE, errno.ENOBUFS)
         transport.write(b"answer")
         assert transport.write_buffer_size
-        setting.fail_next(FaultKind.WRITE, errno.ENOBUFS)
+        harness.fail_next(FaultKind.WRITE, errno.ENOBUFS)
         transport.handle_event(select.EPOLLOUT)
         assert not transport.closed
         transport.handle_event(select.EPOLLOUT)
@@ -219,26 +219,24 @@
 @pytest.mark.parametrize(
     "case",
     [
-        accepting_goes_on_after_one_connection_could_not_be_prepared,
-        accepting_goes_on_after_one_connection_could_not_be_polled,
-        a_listener_is_closed_only_once_all_that_wait_are_accepted,
-        a_connection_that_comes_long_after_a_failure_has_not_waited_since,
-        a_connection_that_waited_through_failures_has_waited_since_the_first,
-        a_connection_behind_a_full_round_of_acceptances_has_waited_with_the_others,
-        a_connection_that_comes_long_after_a_full_round_of_acceptances_has_not_waited_since,
-        what_a_short_read_leaves_is_read_in_the_same_turn,
-        what_is_read_together_with_the_end_of_a_client_is_not_passed_on,
-        what_an_endpoint_sent_before_its_end_is_passed_on,
-        what_is_buffered_is_sent_when_the_system_has_memory_again,
+        accept_continues_after_a_failed_setsockopt,
+        accept_continues_after_a_failed_epoll_registration,
+        listener_closes_only_after_draining_its_accept_queue,
+        connection_long_after_a_failed_accept_is_not_dated_to_it,
+        connection_pending_during_failed_accepts_is_dated_to_the_first,
+        connection_left_over_by_a_full_accept_batch_is_dated_like_the_others,
+        connection_long_after_a_full_accept_batch_is_not_dated_to_it,
+        rest_of_a_short_read_is_read_in_the_same_iteration,
+        data_read_together_with_a_client_disconnect_is_discarded,
+        data_sent_by_an_endpoint_before_its_end_of_stream_is_delivered,
+        buffered_data_is_sent_once_memory_is_available,
     ],
     ids=lambda case: case.__name__,
 )
-async def test_a_system_call_that_fails_for_a_moment_loses_nothing_else(
-    faults: InjectedFaults, case: object
-) -> None:
-    setting = Setting(faults)
+async def test_transient_failure_is_isolated(faults: InjectedFaults, case: object) -> None:
+    harness = AcceptorHarness(faults)
     assert callable(case)
     try:
-        await case(setting)
+        await case(harness)
     finally:
-        setting.poller.close()
+        harness.poller.close()
