--- a/juniperreel/net/poller.py
+++ b/juniperreel/net/poller.py
@@ -66,8 +66,8 @@
         self._yielded_us = self._complete_poll_us
         # Earliest time at which the sockets that the last poll returned may have become ready.
         self.ready_since_us = self._complete_poll_us
-        self.unseen_us = 0  # upper bound on the time between readiness and its detection
-        self.overslept_us = 0  # by how much the last wait overran its timeout
+        self.max_detection_delay_us = 0  # upper bound on the time between readiness and its detection
+        self.wait_overrun_us = 0  # by how much the last wait overran its timeout
 
     def close(self) -> None:
         """Close the epoll instance; registered sockets stay open."""
@@ -90,7 +90,7 @@
     async def wait(self, until_us: int | None) -> None:
         """Return when a socket is ready, at `until_us`, or after `wake`."""
         self._woken = False
-        self.overslept_us = 0
+        self.wait_overrun_us = 0
         started_us = self.clock.now_us()
         self._poll()
         if not self._events and (until_us is None or until_us > started_us):
@@ -98,7 +98,7 @@
         elif started_us - self._yielded_us > YIELD_INTERVAL_US:
             await trio.lowlevel.checkpoint()
             self._yielded_us = self.clock.now_us()
-        self.unseen_us = self.clock.now_us() - self.ready_since_us
+        self.max_detection_delay_us = self.clock.now_us() - self.ready_since_us
 
     async def _wait_until_ready(self, until_us: int | None) -> None:
         """Wait in slices of `MAX_WAIT_US`, polling after each.
@@ -115,7 +115,7 @@
                 await trio.lowlevel.wait_readable(self._epoll.fileno())
             self._wait_scope = None
             now_us = self.clock.now_us()
-            self.overslept_us = max(self.overslept_us, now_us - end_us)
+            self.wait_overrun_us = max(self.wait_overrun_us, now_us - end_us)
             self._poll()
         self._yielded_us = now_us
 
--- a/juniperreel/net/transport.py
+++ b/juniperreel/net/transport.py
@@ -122,7 +122,7 @@
             return False
         return False
 
-    def peer_has_left(self) -> bool:
+    def peer_has_disconnected(self) -> bool:
         """Return whether the kernel has already seen the peer close or break the connection.
 
         The poller reports this only with its next poll, after the events of the current one.
--- a/juniperreel/platform/client_connection.py
+++ b/juniperreel/platform/client_connection.py
@@ -251,7 +251,7 @@
 
     def has_left(self) -> bool:
         """Return whether the client has ended or broken the connection, though no event says so yet."""
-        return self._transport.peer_has_left()
+        return self._transport.peer_has_disconnected()
 
     def has_unread_bytes(self) -> bool:
         """Return whether bytes have come, or the client's end, that the next poll will report."""
--- a/juniperreel/platform/program.py
+++ b/juniperreel/platform/program.py
@@ -125,8 +125,8 @@
             until_us = retry_us if until_us is None else min(until_us, retry_us)
         await self.poller.wait(until_us)
         self.driver.input_ready_since_us = self.poller.ready_since_us
-        self.driver.input_wait_us = self.poller.unseen_us
-        self.driver.counters.on_wait(self.poller.overslept_us)
+        self.driver.input_wait_us = self.poller.max_detection_delay_us
+        self.driver.counters.on_wait(self.poller.wait_overrun_us)
         self.poller.dispatch()
         self.driver.process_pending()
         if self.acceptor is not None:
--- a/tests/platform/event_harness.py
+++ b/tests/platform/event_harness.py
@@ -121,7 +121,7 @@
     def has_nothing_to_read(self) -> bool:
         return not self.closed and not self.has_unread
 
-    def peer_has_left(self) -> bool:
+    def peer_has_disconnected(self) -> bool:
         return self.closed
 
     def close(self) -> None:
