--- a/juniperreel/postgres/__init__.py
+++ b/juniperreel/postgres/__init__.py
@@ -1,5 +1,5 @@
-"""PostgreSQL's wire protocol, version 3: simple queries, both sides, without I/O.
+"""Sans-I/O implementation of the PostgreSQL wire protocol, version 3, for simple queries.
 
-`client` speaks to servers, `server` to clients, `messages` encodes and reads what both exchange, and
+`client` and `server` are the state machines of the two sides, `messages` encodes and parses messages, and
 `request_format` parses the two statements of the operators' platform.
 """
--- a/juniperreel/postgres/client.py
+++ b/juniperreel/postgres/client.py
@@ -1,7 +1,7 @@
-"""The client's side of one connection, towards servers: queries out, replies in.
+"""The client side of a connection: sends queries and assembles replies.
 
-States: startup (the StartupMessage is out), idle, busy (a query is out), closed. A reply is complete before
-any of it is returned: what a server sent malformed never reaches a client.
+States: startup (StartupMessage sent), idle, busy (query sent), closed. A reply is returned only when
+complete, so malformed data from a server never reaches a client.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from juniperreel.postgres import messages, sqlstate
 from juniperreel.postgres.messages import UINT16, UINT32, Message, ProtocolError
 
-REPLY_LIMIT = 65_536 + 4_096  # bytes: a value of 64 KiB and what stands around it
-MAX_PARAMETERS = 64  # in one reply
+REPLY_LIMIT = 65_536 + 4_096  # bytes: a value of 64 KiB, and its framing
+MAX_PARAMETERS = 64  # per reply
 AUTHENTICATION = b"R"
 BACKEND_KEY_DATA = b"K"
 COMMAND_COMPLETE = b"C"
@@ -24,11 +24,11 @@
 PARAMETER_STATUS = b"S"
 READY_FOR_QUERY = b"Z"
 ROW_DESCRIPTION = b"T"
-KNOWN_KINDS = b"RSKZTDCENIAv"
+EXPECTED_KINDS = b"RSKZTDCENIAv"
 AUTHENTICATION_OK = b"\0\0\0\0"
-COLUMN_ATTRIBUTES = 18  # bytes behind a column's name in a RowDescription
+COLUMN_ATTRIBUTES_SIZE = 18  # bytes after a column's name in a RowDescription
 COUNT_SIZE = UINT16.size
-ROW_HEADER_SIZE = COUNT_SIZE + UINT32.size  # of a DataRow with one column: their count, the value's length
+ROW_HEADER_SIZE = COUNT_SIZE + UINT32.size  # of a one-column DataRow: column count and value length
 
 
 class Phase(Enum):
@@ -42,10 +42,10 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a server replied to one query.
+    """A server's reply to one query.
 
-    `rows` is RowDescription, DataRow and CommandComplete as they were received, empty unless all three were.
-    `error` is the fields of an ErrorResponse by their letter, `parameters` those that were reported with it.
+    `rows` holds RowDescription, DataRow and CommandComplete as received, or is empty unless all three were.
+    `error` holds the fields of an ErrorResponse by field type, `parameters` the ParameterStatus values.
     """
 
     rows: bytes = b""
@@ -55,7 +55,7 @@
 
 
 class ReplyBuilder:
-    """Puts one reply together. A result is one row of one column: T, then D, then C, each once."""
+    """Assembles a reply. A result is one row of one column: T, D and C in this order, each once."""
 
     __slots__ = ("_description", "_row", "reply")
 
@@ -66,12 +66,12 @@
 
     @property
     def started(self) -> bool:
-        """Whether anything of the reply has been received."""
+        """Whether any part of the reply has been received."""
         return bool(self._description or self.reply.parameters or self.reply.error)
 
     @property
     def complete(self) -> bool:
-        """Whether all of a result has been received."""
+        """Whether a whole result has been received."""
         return bool(self.reply.rows)
 
     def add_parameter(self, payload: bytes) -> None:
@@ -82,13 +82,13 @@
         self.reply.parameters[parameter.name] = parameter.value
 
     def add_error(self, payload: bytes) -> dict[str, str]:
-        """Add an ErrorResponse, and return the fields of the reply's first one."""
+        """Add an ErrorResponse; return the fields of the first one in the reply."""
         if self.reply.error is None:
             self.reply.error = messages.parse_error_fields(payload)
         return self.reply.error
 
     def add_result(self, message: Message) -> None:
-        """Add a part of a result."""
+        """Add a RowDescription, DataRow or CommandComplete."""
         if message.kind == ROW_DESCRIPTION:
             self._add_description(message.payload)
         elif message.kind == DATA_ROW:
@@ -96,29 +96,29 @@
         elif message.kind == COMMAND_COMPLETE:
             self._add_completion(message.payload)
         else:
-            raise ProtocolError(f"a message of type {message.kind!r} in a reply")
+            raise ProtocolError(f"unexpected message type {message.kind!r} in a reply")
 
     def _add_description(self, payload: bytes) -> None:
         if self._description or len(payload) < COUNT_SIZE or UINT16.unpack_from(payload)[0] != 1:
-            raise ProtocolError("a description of other than one column")
+            raise ProtocolError("expected a single RowDescription with one column")
         name_end = payload.find(b"\0", COUNT_SIZE)
-        if name_end < 0 or len(payload) != name_end + 1 + COLUMN_ATTRIBUTES:
-            raise ProtocolError("a description that does not fit its column")
+        if name_end < 0 or len(payload) != name_end + 1 + COLUMN_ATTRIBUTES_SIZE:
+            raise ProtocolError("malformed RowDescription: length does not match its column")
         self._description = messages.message(ROW_DESCRIPTION, payload)
 
     def _add_row(self, payload: bytes) -> None:
         if not self._description or self._row or len(payload) < ROW_HEADER_SIZE:
-            raise ProtocolError("a row where none is expected")
+            raise ProtocolError("unexpected or truncated DataRow")
         (columns,) = UINT16.unpack_from(payload)
         (size,) = UINT32.unpack_from(payload, COUNT_SIZE)
         if columns != 1 or size != len(payload) - ROW_HEADER_SIZE:
-            raise ProtocolError("a row whose length does not fit")
+            raise ProtocolError("malformed DataRow: length does not match its value")
         self._row = messages.message(DATA_ROW, payload)
         self.reply.value = payload[ROW_HEADER_SIZE:]
 
     def _add_completion(self, payload: bytes) -> None:
         if not self._row or self.complete or not payload.endswith(b"\0") or self.reply.error:
-            raise ProtocolError("a completion where none is expected")
+            raise ProtocolError("unexpected or malformed CommandComplete")
         self.reply.rows = self._description + self._row + messages.message(COMMAND_COMPLETE, payload)
 
 
@@ -132,50 +132,50 @@
         self._builder = ReplyBuilder()
 
     def send_query(self, text: bytes) -> bytes:
-        """Start a query, and return the bytes to be sent now.
+        """Start a query and return the bytes to send.
 
         Raises:
             RuntimeError: the connection is not idle.
         """
         if self.phase is not Phase.IDLE:
-            raise RuntimeError(f"a query on a connection that is {self.phase.value}")
+            raise RuntimeError(f"cannot send a query while the connection is {self.phase.value}")
         self.phase = Phase.BUSY
         self._builder = ReplyBuilder()
         return messages.query(text)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the connection is idle and nothing was received beyond the reply."""
+        """Whether the connection is idle and no bytes were received after the reply."""
         return self.phase is Phase.IDLE and not self._reader.buffered
 
     @property
     def response_started(self) -> bool:
-        """Whether anything has been received for the query that is out."""
+        """Whether any part of the reply to the current query has been received."""
         return bool(self._reader.buffered) or self._builder.started
 
     @property
     def partial_reply(self) -> Reply:
-        """The reply as far as it was received: an error counts even if the connection ended behind it."""
+        """The reply received so far. An error in it is valid even if the connection was closed after it."""
         return self._builder.reply
 
     def receive_data(self, data: bytes) -> Reply | None:
-        """Append bytes from the server, and return the reply once it is complete.
+        """Append bytes from the server and return the reply once it is complete.
 
-        Bytes behind a reply are buffered, and make `is_reusable` false. During the startup nothing is
-        returned; the phase becomes IDLE at its end.
+        Bytes after a reply stay buffered and make `is_reusable` false. During startup None is returned; the
+        phase becomes IDLE when startup is complete.
 
         Raises:
-            ProtocolError: the connection is of no further use then.
+            ProtocolError: the connection cannot be used any more.
         """
         self._reader.receive_data(data)
         while self.phase in (Phase.STARTUP, Phase.BUSY):
-            message = self._reader.next_message(KNOWN_KINDS)
+            message = self._reader.next_message(EXPECTED_KINDS)
             if message is None:
                 return None
             if message.kind == PARAMETER_STATUS:
                 self._builder.add_parameter(message.payload)
             elif message.kind == NOTICE_RESPONSE:
-                messages.parse_error_fields(message.payload)  # nothing but its form matters
+                messages.parse_error_fields(message.payload)  # validated and discarded
             elif self.phase is Phase.STARTUP:
                 self._handle_startup(message)
             elif self._handle_reply(message):
@@ -186,23 +186,27 @@
         if message.kind == READY_FOR_QUERY:
             _check_ready_for_query(message.payload)
             if self._builder.reply.error is not None:
-                raise ProtocolError("a startup with an error in it")
+                raise ProtocolError("ReadyForQuery after an error during startup")
             self.phase = Phase.IDLE
         elif message.kind == ERROR_RESPONSE:
             error = self._builder.add_error(message.payload)
-            raise ProtocolError(f"rejected: {error.get('C', '')}", sqlstate.TOO_MANY_CONNECTIONS)
+            raise ProtocolError(
+                f"the server rejected the connection: {error.get('C', '')}", sqlstate.TOO_MANY_CONNECTIONS
+            )
         elif message.kind == AUTHENTICATION:
             if message.payload != AUTHENTICATION_OK:
-                raise ProtocolError("the server requires a password", sqlstate.INVALID_AUTHORIZATION)
+                raise ProtocolError(
+                    "the server requires password authentication", sqlstate.INVALID_AUTHORIZATION
+                )
         elif message.kind not in (BACKEND_KEY_DATA, NEGOTIATE_PROTOCOL_VERSION):
-            raise ProtocolError(f"a message of type {message.kind!r} during the startup")
+            raise ProtocolError(f"unexpected message type {message.kind!r} during startup")
 
     def _handle_reply(self, message: Message) -> bool:
-        """Add a message to the reply, and return whether the reply is complete."""
+        """Add a message to the reply; return whether the reply is complete."""
         if message.kind == READY_FOR_QUERY:
             _check_ready_for_query(message.payload)
             if self._builder.reply.error is None and not self._builder.complete:
-                raise ProtocolError("a reply with neither a row nor an error")
+                raise ProtocolError("ReadyForQuery before a complete result or an error")
             self.phase = Phase.IDLE
             return True
         if message.kind == ERROR_RESPONSE:
@@ -217,4 +221,4 @@
 
 def _check_ready_for_query(payload: bytes) -> None:
     if len(payload) != 1:
-        raise ProtocolError("a ReadyForQuery that is not one byte")
+        raise ProtocolError("malformed ReadyForQuery: expected one byte")
--- a/juniperreel/postgres/messages.py
+++ b/juniperreel/postgres/messages.py
@@ -1,7 +1,7 @@
-"""Framing and encoding of messages (PostgreSQL documentation, chapter "Message Formats").
+"""Message framing and encoding (PostgreSQL documentation, "Message Formats").
 
-A message is a type byte, a length that counts itself but not the type, and a payload. The first message of a
-connection has no type byte.
+A message is a type byte, a length that includes itself but not the type byte, and a payload. The first
+message of a connection has no type byte.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 HEADER_SIZE = HEADER.size
 LENGTH_SIZE = UINT32.size
 
-# The first field of a connection's first message: a protocol version, or a request in place of one.
+# First field of a connection's first message: the protocol version, or a special request code.
 PROTOCOL_3 = 196608
 SSL_REQUEST = 80877103
 GSS_REQUEST = 80877104
@@ -28,13 +28,13 @@
 
 
 class PostgresError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class ProtocolError(PostgresError):
-    """The peer broke the protocol; the connection is of no further use.
+    """The peer violated the protocol; the connection cannot be used any more.
 
-    `sqlstate` is what the peer is sent, where it can still be sent anything.
+    `sqlstate` is the code to report to the peer, if it can still be sent an error.
     """
 
     def __init__(self, text: str, code: str = sqlstate.PROTOCOL_VIOLATION) -> None:
@@ -43,14 +43,14 @@
 
 
 class Message(NamedTuple):
-    """One message as it was received."""
+    """A received message."""
 
-    kind: bytes  # its type byte
+    kind: bytes  # type byte
     payload: bytes
 
 
 class ParameterStatus(NamedTuple):
-    """A parameter that the server reports."""
+    """A parameter reported by the server."""
 
     name: str
     value: str
@@ -59,11 +59,11 @@
 class MessageReader:
     """Splits a byte stream into messages.
 
-    Invariant: it buffers at most one message of `limit` bytes, and what was received together with it.
+    Invariant: at most one message of `limit` bytes is buffered, plus the bytes received together with it.
     """
 
     def __init__(self, limit: int) -> None:
-        """`limit` is the largest length that a message may announce, in bytes."""
+        """`limit` is the maximum value of the length field, in bytes."""
         self.limit = limit
         self._data = bytearray()
 
@@ -73,15 +73,15 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that were received and not read as messages yet."""
+        """Number of bytes received but not yet returned as messages."""
         return len(self._data)
 
     def next_message(self, known_kinds: bytes) -> Message | None:
         """Return the next message, or None until more bytes are received.
 
         Raises:
-            ProtocolError: the type is not among `known_kinds` or the length is out of range; raised as soon
-                as the header has been received.
+            ProtocolError: the type is not in `known_kinds`, or the length is out of range. Raised as soon as
+                the header has been received.
         """
         data = self._data
         if not data:
@@ -93,8 +93,7 @@
             return None
         (size,) = UINT32.unpack_from(data, 1)
         if size < LENGTH_SIZE or size > self.limit:
-            # No buffer is allocated for a length that was only announced: a peer could exhaust the memory
-            # with a header alone.
+            # Rejected before the payload is buffered: otherwise a peer could exhaust memory with a header.
             raise ProtocolError(
                 f"a message of type {kind!r} with length {size}", sqlstate.PROGRAM_LIMIT_EXCEEDED
             )
@@ -128,12 +127,12 @@
 
 
 def message(kind: bytes, payload: bytes) -> bytes:
-    """Return a message with its header."""
+    """Encode a message."""
     return HEADER.pack(kind, len(payload) + LENGTH_SIZE) + payload
 
 
 def error(severity: str, code: str, text: str, detail: str = "") -> bytes:
-    """Return an ErrorResponse. NUL ends a field, so NULs in `text` are replaced."""
+    """Encode an ErrorResponse. NUL terminates a field, so NULs in `text` are replaced."""
     fields = {"S": severity, "V": severity, "C": code, "M": text.replace("\0", "?")}
     if detail:
         fields["D"] = detail
@@ -142,18 +141,18 @@
 
 
 def parameter(name: str, value: str) -> bytes:
-    """Return a ParameterStatus."""
+    """Encode a ParameterStatus."""
     return message(b"S", name.encode() + b"\0" + value.encode() + b"\0")
 
 
 def startup(user: str, database: str) -> bytes:
-    """Return the StartupMessage of protocol 3.0."""
+    """Encode a StartupMessage for protocol 3.0."""
     parameters = b"user\0" + user.encode() + b"\0database\0" + database.encode() + b"\0\0"
     return UINT32.pack(len(parameters) + 2 * LENGTH_SIZE) + UINT32.pack(PROTOCOL_3) + parameters
 
 
 def query(text: bytes) -> bytes:
-    """Return a simple Query."""
+    """Encode a simple Query."""
     return message(b"Q", text + b"\0")
 
 
@@ -161,25 +160,25 @@
 
 
 def parse_error_fields(payload: bytes) -> dict[str, str]:
-    """Return the fields of an ErrorResponse or NoticeResponse, by their letter.
+    """Parse the fields of an ErrorResponse or NoticeResponse, keyed by field type.
 
     Raises:
-        ProtocolError: the payload does not end as it must.
+        ProtocolError: the terminator is missing.
     """
     if not payload.endswith(b"\0\0") and payload != b"\0":
-        raise ProtocolError("an error message does not end")
+        raise ProtocolError("malformed ErrorResponse or NoticeResponse: missing terminator")
     return {
         chr(field[0]): field[1:].decode("utf-8", "replace") for field in payload[:-1].split(b"\0") if field
     }
 
 
 def parse_parameter_status(payload: bytes) -> ParameterStatus:
-    """Return the parameter of a ParameterStatus.
+    """Parse a ParameterStatus.
 
     Raises:
         ProtocolError: the payload is not a name and a value.
     """
     parts = payload.split(b"\0")
     if len(parts) != 3 or parts[2]:
-        raise ProtocolError("a parameter is not a name and a value")
+        raise ProtocolError("malformed ParameterStatus: expected a name and a value")
     return ParameterStatus(parts[0].decode("utf-8", "replace"), parts[1].decode("utf-8", "replace"))
--- a/juniperreel/postgres/request_format.py
+++ b/juniperreel/postgres/request_format.py
@@ -1,9 +1,9 @@
-r"""The request format of the operators' platform: one of two statements, with a comment behind it.
+r"""The request format of the operators' platform: one of two statements, followed by a comment.
 
     SELECT body FROM objects WHERE oid = 'KEY' /* NAME=VALUE,... */
     INSERT INTO objects (oid, body) VALUES ('KEY', '\xHEX') RETURNING body /* NAME=VALUE,... */
 
-The parser is strict: whatever differs from the format in any way is an error.
+The parser is strict: any deviation from the format is an error.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from juniperreel.postgres.messages import PostgresError
 
-VALUE_LIMIT = 65_536  # bytes, two hexadecimal digits each
-TIMEOUT_LIMIT_MS = 3_600_000  # no client waits longer
+VALUE_LIMIT = 65_536  # decoded bytes; two hexadecimal digits each
+TIMEOUT_LIMIT_MS = 3_600_000  # upper bound on plausible client timeouts
 KEY = rb"([0-9A-Za-z_.:@-]{1,128})"
 READ = re.compile(rb"SELECT body FROM objects WHERE oid = '" + KEY + rb"' /\* ([^*/]{1,1024}) \*/")
 WRITE = re.compile(
@@ -26,7 +26,7 @@
 NUMBER = re.compile(r"[0-9]{1,15}")
 TIMEOUT = re.compile(rb"(?<=[ ,])d=[0-9]+")
 
-# Names in the comment.
+# Field names in the comment.
 REQUEST_ID = "id"
 CLASS = "c"
 TENANT = "t"
@@ -39,15 +39,15 @@
 
 
 class RequestFormatError(PostgresError):
-    """A statement that is not in the format. The text says what is wrong, without the client's bytes."""
+    """The statement does not match the format. The message never quotes the client's bytes."""
 
 
 @dataclass(slots=True)
 class StatementRequest:
-    """One request as its statement and comment say.
+    """A request parsed from its statement and comment.
 
-    `timeout_ms` is how long the client waits, from when it sent the request. `last_write_ms` is the time of
-    the last write of the client's session, where the client gives one.
+    `timeout_ms` is the client's timeout, measured from when it sent the request. `last_write_ms` is the time
+    of the last write in the client's session, if given.
     """
 
     text: bytes
@@ -73,10 +73,10 @@
 
 
 def parse_request(text: bytes) -> StatementRequest:
-    """Return the request that a statement and its comment stand for.
+    """Parse a statement and its comment.
 
     Raises:
-        RequestFormatError: the statement is not exactly in the format.
+        RequestFormatError: the statement does not match the format exactly.
     """
     statement = _parse_statement(text)
     values = _parse_comment(statement.comment)
@@ -98,7 +98,7 @@
 
 
 def with_timeout(text: bytes, timeout_ms: int) -> bytes:
-    """Return the statement byte for byte, but for how long the client waits."""
+    """Return the statement with its timeout replaced and all other bytes unchanged."""
     start = text.rindex(b"/*")
     return text[:start] + TIMEOUT.sub(b"d=%d" % timeout_ms, text[start:], count=1)
 
@@ -121,7 +121,9 @@
     try:
         pairs = [part.split("=", 1) for part in comment.decode("ascii").split(",")]
     except UnicodeDecodeError:
-        raise RequestFormatError("the comment is not ASCII") from None  # its text would quote the bytes
+        raise RequestFormatError(
+            "the comment is not ASCII"
+        ) from None  # its message would quote the client's bytes
     if any(len(pair) != 2 for pair in pairs):
         raise RequestFormatError("the comment is not names and values")
     values = {pair[0]: pair[1] for pair in pairs}
@@ -131,7 +133,7 @@
 
 
 def _check_values(values: dict[str, str]) -> None:
-    """Check the values of a comment, in the order in which errors are reported."""
+    """Check the values of a comment; the order determines which error is reported."""
     if not _matches(HEX_ID, values.get(REQUEST_ID, "")):
         raise RequestFormatError("id is missing or not 16 hexadecimal digits")
     timeout = values.get(TIMEOUT_MS, "")
@@ -150,5 +152,5 @@
 
 
 def _matches(pattern: re.Pattern[str], value: str | None) -> bool:
-    """Return whether a value is of a pattern; one that is not given is."""
+    """Return whether a value is absent or matches the pattern."""
     return value is None or pattern.fullmatch(value) is not None
--- a/juniperreel/postgres/server.py
+++ b/juniperreel/postgres/server.py
@@ -1,7 +1,7 @@
-"""The server's side of one connection, towards clients: bytes in, queries out; and the responses to them.
+"""The server side of a connection: parses queries and encodes the responses to them.
 
-States: startup, ready, closed. A query is taken only when the one before it has been answered; the caller
-sees to that by asking for the next query only then.
+States: startup, ready, closed. Queries are processed one at a time: the caller must not ask for the next
+query before it has answered the previous one.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from juniperreel.postgres import messages, sqlstate
 from juniperreel.postgres.messages import UINT32, ProtocolError
 
-STARTUP_LIMIT = 10_000  # bytes, as PostgreSQL has it
-QUERY_LIMIT = 2 * 65_536 + 4_096  # bytes: a value of 64 KiB in hexadecimal, and the statement around it
+STARTUP_LIMIT = 10_000  # bytes, as in PostgreSQL
+QUERY_LIMIT = 2 * 65_536 + 4_096  # bytes: a value of 64 KiB in hexadecimal, and the rest of the statement
 QUERY = b"Q"
 TERMINATE = b"X"
-UNSUPPORTED = b"PBEDHSCFdcfp"  # commands of the extended protocol, of COPY and of password authentication
+UNSUPPORTED_KINDS = b"PBEDHSCFdcfp"  # extended query protocol, COPY and password authentication
 MAJOR_VERSION = 3
 PROTOCOL_OPTION_PREFIX = b"_pq_."
 ENCRYPTION_REFUSED = b"N"
@@ -39,7 +39,7 @@
 
     STARTUP = "startup"
     READY = "ready"
-    CLOSED = "closed"  # the client has terminated it
+    CLOSED = "closed"  # terminated by the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 
 class ServerConnection:
-    """The state machine of one client's connection. `outgoing` holds bytes to be sent to the client."""
+    """The state machine of a client connection. `outgoing` holds the bytes to send to the client."""
 
     def __init__(self) -> None:
         self.phase = Phase.STARTUP
@@ -63,14 +63,14 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes that were received and not taken as messages yet."""
+        """Number of bytes received but not yet consumed as messages."""
         return self._reader.buffered
 
     def next_query(self) -> Query | None:
-        """Return the next query, or None until more bytes are received or when the phase is CLOSED.
+        """Return the next query, or None if more bytes are needed or the phase is CLOSED.
 
         Raises:
-            ProtocolError: the connection is of no further use then.
+            ProtocolError: the connection cannot be used any more.
         """
         while self.phase is Phase.STARTUP:
             payload = self._reader.next_startup(STARTUP_LIMIT)
@@ -79,7 +79,7 @@
             self._handle_startup(payload)
         if self.phase is Phase.CLOSED:
             return None
-        message = self._reader.next_message(QUERY + TERMINATE + UNSUPPORTED)
+        message = self._reader.next_message(QUERY + TERMINATE + UNSUPPORTED_KINDS)
         if message is None:
             return None
         if message.kind == TERMINATE:
@@ -99,7 +99,7 @@
                 raise ProtocolError("a request for encryption with a tail")
             self.outgoing += ENCRYPTION_REFUSED
         elif code == messages.CANCEL_REQUEST:
-            # No client is given a key to cancel with, so there is nothing to cancel.
+            # BackendKeyData holds no real key, so there is nothing to cancel.
             self.phase = Phase.CLOSED
         else:
             self._start_session(code, payload[UINT32.size :])
@@ -121,7 +121,7 @@
 
 
 def _parameter_names(parameters: bytes) -> list[bytes]:
-    """Return the names in a StartupMessage: names and values in turn, each ended by NUL, and one NUL more."""
+    """Return the parameter names of a StartupMessage: NUL-terminated pairs, followed by one more NUL."""
     parts = parameters.split(b"\0")
     if len(parts) < 4 or parts[-2:] != [b"", b""] or len(parts) % 2:
         raise ProtocolError("a startup message that is not names and values")
@@ -129,7 +129,7 @@
 
 
 def _negotiate_protocol_version(names: list[bytes]) -> bytes:
-    """Return a NegotiateProtocolVersion, which offers 3.0 to a client of a newer minor version."""
+    """Encode a NegotiateProtocolVersion that offers 3.0 to a client with a newer minor version."""
     unknown_options = [name for name in names if name.startswith(PROTOCOL_OPTION_PREFIX)]
     listed = b"".join(name + b"\0" for name in unknown_options)
     return messages.message(b"v", UINT32.pack(0) + UINT32.pack(len(unknown_options)) + listed)
@@ -144,19 +144,19 @@
 
 
 def rejected(text: str, retry_after_ms: int) -> bytes:
-    """Return the response to a query that was not executed, so that a retry is safe.
+    """Return the response to a query that was not executed and can safely be retried.
 
-    `retry_after_ms` 0 gives the client no hint when to retry.
+    With `retry_after_ms` 0 the client gets no retry-after hint.
     """
     detail = str(retry_after_ms) if retry_after_ms else ""
     return messages.error("ERROR", sqlstate.TOO_MANY_CONNECTIONS, text, detail) + messages.READY
 
 
 def failed(code: str, text: str) -> bytes:
-    """Return an error response after which the connection goes on."""
+    """Return an error response that leaves the connection open."""
     return messages.error("ERROR", code, text) + messages.READY
 
 
 def fatal(code: str, text: str) -> bytes:
-    """Return an error response after which the connection ends."""
+    """Return an error response after which the connection is closed."""
     return messages.error("FATAL", code, text)
--- a/juniperreel/postgres/sqlstate.py
+++ b/juniperreel/postgres/sqlstate.py
@@ -1,4 +1,4 @@
-"""The SQLSTATE codes that this package reports (PostgreSQL documentation, appendix A)."""
+"""SQLSTATE codes reported by this package (PostgreSQL documentation, appendix A)."""
 
 from __future__ import annotations
 
--- a/tests/postgres/test_connections.py
+++ b/tests/postgres/test_connections.py
@@ -1,4 +1,4 @@
-"""Both sides of the protocol by bytes alone; tests/platform/test_program.py tries them against libpq."""
+"""Both sides of the protocol at byte level; tests/platform/test_program.py tests them against libpq."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 def take_queries(connection: server.ServerConnection) -> list[bytes]:
-    """Return the texts of all queries that have been received completely."""
+    """Return the texts of all queries received completely."""
     texts = []
     while (query := connection.next_query()) is not None:
         texts.append(query.text)
     return texts
 
 
-def test_query_directly_behind_the_startup_message_is_taken() -> None:
+def test_queries_pipelined_with_the_startup_message_are_returned() -> None:
     connection = server.ServerConnection()
     connection.receive_data(STARTUP + m.query(b"one") + m.query(b"two"))
     assert connection.next_query() == server.Query(b"one")
@@ -48,7 +48,7 @@
 
 
 @given(st.integers(1, 40))
-def test_commands_cut_anywhere_are_complete(size: int) -> None:
+def test_commands_split_at_any_boundary_are_parsed(size: int) -> None:
     data = m.UINT32.pack(8) + m.UINT32.pack(m.SSL_REQUEST) + STARTUP + m.query(b"a query") + b"X\0\0\0\4"
     connection = server.ServerConnection()
     texts = []
@@ -65,14 +65,14 @@
     [
         b"\xff\xff\xff\xff",  # a negative length
         b"\0\0\0\7",
-        b"\0\0\x4e\x20",  # longer than a startup message may be
+        b"\0\0\x4e\x20",  # over the limit of startup messages
         b"GET / HTTP/1.1\r\n",
         m.UINT32.pack(8) + m.UINT32.pack(2 << 16),
         m.UINT32.pack(9) + m.UINT32.pack(m.PROTOCOL_3) + b"\0",
         STARTUP + b"!",
         STARTUP + b"Q\0\0\0\3",
         STARTUP + b"Q\x80\0\0\0",
-        STARTUP + b"Q" + m.UINT32.pack(60 << 20),  # refused by its header alone
+        STARTUP + b"Q" + m.UINT32.pack(60 << 20),  # rejected on its header alone
         STARTUP + m.message(b"Q", b"no end"),
         STARTUP + m.message(b"Q", b"two\0ends\0"),
         STARTUP + m.message(b"P", b"\0select 1\0\0\0"),
@@ -96,7 +96,7 @@
     assert connection.buffered <= len(data)
 
 
-def test_reply_cut_anywhere_is_returned_once_complete_with_its_parameters() -> None:
+def test_reply_received_byte_by_byte_is_returned_once_complete() -> None:
     connection = busy_connection()
     data = ROW + STATUS + m.READY
     replies = [connection.receive_data(data[at : at + 1]) for at in range(len(data))]
@@ -110,7 +110,7 @@
     assert connection.is_reusable
 
 
-def test_bytes_behind_a_reply_make_the_connection_not_reusable() -> None:
+def test_connection_with_bytes_after_a_reply_is_not_reusable() -> None:
     for extra in (b"x", ROW + m.READY):
         connection = busy_connection()
         reply = connection.receive_data(ROW + m.READY + extra)
@@ -123,10 +123,10 @@
     "data",
     [
         b"\0\0\0\0\0\0",
-        b"D" + m.UINT32.pack(3 << 30),  # a value said to have 3 GB
+        b"D" + m.UINT32.pack(3 << 30),  # announces a value of 3 GB
         b"T" + m.UINT32.pack(2),
-        m.message(b"D", b"\0\1\0\0\0\0"),  # a row that nothing described
-        ROW[: ROW.index(b"C\0\0\0")] + m.READY,  # no completion
+        m.message(b"D", b"\0\1\0\0\0\0"),  # DataRow without RowDescription
+        ROW[: ROW.index(b"C\0\0\0")] + m.READY,  # no CommandComplete
         ROW + m.message(b"D", b"\0\1" + struct.pack("!I", 1) + b"z"),
         ROW.replace(struct.pack("!I", 3) + b"abc", struct.pack("!I", 2) + b"abc"),
         m.READY,
@@ -141,7 +141,7 @@
 
 
 @given(st.binary(max_size=200), st.integers(0, 200))
-def test_random_bytes_inside_a_reply_never_give_another_value(noise: bytes, at: int) -> None:
+def test_random_bytes_inside_a_reply_do_not_truncate_it(noise: bytes, at: int) -> None:
     connection = busy_connection()
     data = ROW + STATUS + m.READY
     at = min(at, len(data))
@@ -154,7 +154,7 @@
         assert len(reply.rows) >= len(ROW)
 
 
-def test_error_counts_whether_or_not_the_connection_goes_on() -> None:
+def test_error_is_available_for_reusable_closed_and_incomplete_replies() -> None:
     connection = busy_connection()
     reply = connection.receive_data(m.error("ERROR", "25006", "read only") + STATUS + m.READY)
     assert reply is not None
@@ -179,7 +179,7 @@
     assert connection.partial_reply.error["C"] == "53300"
 
 
-def test_responses_have_the_sqlstates_of_the_operators_platform() -> None:
+def test_responses_use_the_sqlstates_of_the_operators_platform() -> None:
     rejected = server.rejected("busy", 120)
     assert b"C53300\0" in rejected
     assert b"D120\0" in rejected
--- a/tests/postgres/test_request_format.py
+++ b/tests/postgres/test_request_format.py
@@ -1,4 +1,4 @@
-"""The request format: what is exactly in it, and what differs from it slightly."""
+"""The request format: statements that match it exactly, and slight deviations from it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_both_statements_in_the_format_are_parsed() -> None:
+def test_both_statements_are_parsed() -> None:
     assert parse_request(READ) == StatementRequest(
         text=READ,
         is_write=False,
@@ -67,14 +67,14 @@
         (b"/* ", b"/* /* "),
     ],
 )
-def test_statement_not_in_the_format_is_rejected(old: bytes, new: bytes) -> None:
+def test_malformed_statement_is_rejected(old: bytes, new: bytes) -> None:
     for text in (READ, WRITE):
         assert old in text
         with pytest.raises(RequestFormatError):
             parse_request(text.replace(old, new, 1))
 
 
-def test_value_over_the_limit_or_not_of_complete_bytes_is_rejected() -> None:
+def test_oversized_or_malformed_value_is_rejected() -> None:
     assert parse_request(WRITE.replace(b"9f03", b"00" * VALUE_LIMIT)).is_write
     for value in (b"00" * (VALUE_LIMIT + 1), b"9f0", b"9g"):
         with pytest.raises(RequestFormatError):
@@ -88,7 +88,7 @@
 
 
 @given(st.integers(0, len(WRITE) - 1), st.integers(0, 255))
-def test_statement_with_one_byte_changed_is_parsed_as_it_is_or_rejected(at: int, byte: int) -> None:
+def test_statement_with_one_byte_changed_is_rejected_or_kept_verbatim(at: int, byte: int) -> None:
     text = WRITE[:at] + bytes((byte,)) + WRITE[at + 1 :]
     try:
         request = parse_request(text)
@@ -98,10 +98,10 @@
     assert request.is_write
 
 
-def test_with_timeout_rewrites_the_timeout_alone() -> None:
+def test_with_timeout_rewrites_only_the_timeout() -> None:
     for text in (READ, WRITE):
         assert with_timeout(text, 77) == text.replace(b"d=480", b"d=77")
-    odd = WRITE.replace(b"c=order", b"c=xd=1").replace(b"7f3a9c21e0b4d655', '", b"d=480', '")
+    lookalike = WRITE.replace(b"c=order", b"c=xd=1").replace(b"7f3a9c21e0b4d655', '", b"d=480', '")
     with pytest.raises(RequestFormatError):
-        parse_request(odd)  # a key with an equals sign is none
+        parse_request(lookalike)  # '=' is not allowed in keys
     assert with_timeout(READ.replace(b"c=basket", b"c=d"), 5).count(b"d=5,") == 1
