--- a/juniperreel/settings/__init__.py
+++ b/juniperreel/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files: one directive per line, in sections, validated as a whole before any of it takes effect."""
+"""Settings files: sections with one directive per line, validated as a whole before any takes effect."""
 
 from juniperreel.settings.edge import read_edge
 from juniperreel.settings.edge_settings import EdgeSettings
--- a/juniperreel/settings/configd.py
+++ b/juniperreel/settings/configd.py
@@ -1,4 +1,4 @@
-"""The settings of a configuration instance, a member of the Raft cluster that keeps the configuration."""
+"""Settings of a configuration instance, a member of the Raft cluster that stores the configuration."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 MIN_TICK_US = 1_000
 MAX_TICK_US = 1_000_000
 MIN_ELECTION_TICKS = 5
-QUOTED_LENGTH = 60  # of an invalid instance in an error's text
+QUOTED_LENGTH = 60  # characters of an invalid instance quoted in an error
 
 
 def parse_instance(argument: str) -> str:
-    """An instance as name@host:port, returned as it is.
+    """Check that an instance has the form name@host:port and return it unchanged.
 
     Raises:
-        InvalidValueError: It has another form.
+        InvalidValueError: It has a different form.
     """
     name, separator, address = argument.rpartition("@")
     if not separator or not name or "," in name or "@" in name:
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """All that a configuration instance is started with.
+    """The settings of a configuration instance.
 
     Attributes:
-        name: As name@host:port.
+        name: In the form name@host:port.
         snapshot_interval: Log entries between snapshots.
-        members: The instances that a new cluster starts with, as `name`.
+        members: The initial instances of a new cluster, in the same form as `name`.
     """
 
     name: str
@@ -85,10 +85,10 @@
 
 
 def read_instance(path: Path) -> InstanceSettings:
-    """The settings of a file.
+    """Read a settings file.
 
     Raises:
-        SettingsError: The file has problems; the error has all of them.
+        SettingsError: The file is invalid; the error lists all problems.
         OSError: The file cannot be read.
     """
     sections, problems = lex(path.read_bytes())
@@ -121,15 +121,15 @@
 
 
 def check_instance(file: FileValues) -> Iterator[Problem]:
-    """A quorum that tolerates failures, and timers within their bounds."""
+    """Check the membership, and that timers are within bounds."""
     instance = file["instance"][0]
     cluster = file["cluster"][0]
     members = cluster["member"]
     if len(set(members)) != len(members) or len(members) % 2 == 0:
-        reason = "an odd number of members, each named once: an even one tolerates no more failures"
+        reason = "an odd number of distinct members is required: an even number tolerates no more failures"
         yield cluster.problem("member", reason)
     if not MIN_TICK_US <= instance["tick"] <= MAX_TICK_US:
-        yield instance.problem("tick", "tick: 1ms to 1s")
+        yield instance.problem("tick", "tick: must be 1ms to 1s")
     if instance["election-ticks"] < MIN_ELECTION_TICKS or instance["snapshot-every"] < 1:
-        reason = "election-ticks: 5 or more; snapshot-every: 1 or more"
+        reason = "election-ticks must be at least 5, and snapshot-every at least 1"
         yield instance.problem("election-ticks", reason)
--- a/juniperreel/settings/edge.py
+++ b/juniperreel/settings/edge.py
@@ -1,4 +1,4 @@
-"""Reads the settings file of an edge."""
+"""Reads an edge's settings file."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 
 
 def read_edge(path: Path) -> EdgeSettings:
-    """The settings of a file.
+    """Read a settings file.
 
     Raises:
-        SettingsError: The file has problems; the error has all of them.
+        SettingsError: The file is invalid; the error lists all problems.
         OSError: The file cannot be read.
     """
     return parse_edge(path.read_bytes(), str(path), path.parent)
 
 
 def parse_edge(data: bytes, file_name: str, directory: Path) -> EdgeSettings:
-    """The settings from a file's contents; relative paths in it start at `directory`.
+    """Parse the contents of a settings file; relative paths in it are relative to `directory`.
 
     Raises:
-        SettingsError: As `read_edge`.
+        SettingsError: As for `read_edge`.
     """
     sections, problems = lex(data)
     if problems and not sections:
@@ -79,10 +79,10 @@
         except InvalidValueError as error:
             problems.append(token.problem("key", f"key {key_id}: {error}", 5))
         if key_id > MAX_KEY_ID or key_id in [key.id for key in keys]:
-            problems.append(token.problem("key", f"key {key_id}: ids are 0 to 255, each used once"))
+            problems.append(token.problem("key", f"key {key_id}: ids must be unique and 0 to 255"))
         keys.append(TokenKey(key_id, secret))
     if len(keys) > MAX_TOKEN_KEYS:
-        problems.append(token.problem("key", "at most two keys are active at once"))
+        problems.append(token.problem("key", "at most two keys may be active at once"))
     return tuple(keys)
 
 
--- a/juniperreel/settings/edge_schema.py
+++ b/juniperreel/settings/edge_schema.py
@@ -19,7 +19,7 @@
 )
 
 AUTH_PLUGINS = ("caching_sha2_password", "mysql_native_password")
-MAX_MATCH_ARGUMENTS = 13  # read or write, and six names with their values
+MAX_MATCH_ARGUMENTS = 13  # read or write, and six name-value pairs
 
 SECTIONS: Mapping[str, SectionSpec] = {
     "edge": SectionSpec(
@@ -28,9 +28,9 @@
             "listen": single(parse_address),
             "metrics": single(parse_address, None),
             "zone": single(parse_integer, 0),
-            "edges": single(parse_integer),  # that share the endpoints, this one included
+            "edges": single(parse_integer),  # number of edges that share the endpoints, including this one
             "groups": single(parse_integer),
-            "workers": single(parse_integer, 1),  # processes of this edge
+            "workers": single(parse_integer, 1),  # worker processes
             "seed": single(parse_integer, None),
         }
     ),
@@ -107,7 +107,7 @@
             ),
             "match": DirectiveSpec(
                 (parse_name,) * MAX_MATCH_ARGUMENTS, default=(), min_arguments=5, repeated=True
-            ),  # statements that belong to another class
+            ),  # assigns statements to other classes
         },
         required=False,
     ),
@@ -116,14 +116,14 @@
             "speak": single(one_of("grpc", "mysql"), "grpc"),
             "user": DirectiveSpec((parse_name, Path), default=None),
             "database": single(parse_name, ""),
-            "transaction": single(parse_duration, 0),  # its longest duration; 0 for half of drain-grace
-            "tls": single(Path, None),  # certificate authorities that endpoints are verified against, PEM
-            "connections": single(parse_integer, 32),  # per endpoint, at most
-            "least": single(parse_integer, 0),  # kept open when idle
+            "transaction": single(parse_duration, 0),  # maximum duration; 0 means half of drain-grace
+            "tls": single(Path, None),  # CA certificates for verifying endpoints, PEM
+            "connections": single(parse_integer, 32),  # maximum per endpoint
+            "least": single(parse_integer, 0),  # minimum kept open when idle
             "wait": single(parse_duration, 250_000),  # acquire timeout
             "idle": single(parse_duration, 60_000_000),
             "age": single(parse_duration, 3_600_000_000),
-            "open-rate": single(parse_number, 20.0),  # connections per second and endpoint
+            "open-rate": single(parse_number, 20.0),  # new connections per second, per endpoint
         },
         required=False,
     ),
--- a/juniperreel/settings/edge_settings.py
+++ b/juniperreel/settings/edge_settings.py
@@ -1,4 +1,4 @@
-"""The settings of an edge as typed records. Times are microseconds."""
+"""Typed settings of an edge. Durations are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TokenKey(NamedTuple):
-    """A secret that signs causal tokens, and the id that is written into them."""
+    """A key for signing causal tokens, and the key id included in them."""
 
     id: int
     secret: bytes
@@ -36,8 +36,8 @@
     """Assigns statements to a class and a tenant. A condition that is None matches anything.
 
     Attributes:
-        write: Whether it matches writes, or reads.
-        digest: Of the statement's normalized text.
+        write: Whether it matches writes; otherwise it matches reads.
+        digest: Digest of the normalized statement text.
     """
 
     write: bool
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MysqlFrontendSettings:
-    """The MySQL frontend.
+    """Settings of the MySQL front end.
 
     Attributes:
-        read_class: The class of reads that no match assigns to another.
-        write_class: The class of such writes.
-        tenant: Of statements that no match assigns to another; empty if there are no tenants.
-        matches: The first one that matches decides.
+        read_class: Default class of reads.
+        write_class: Default class of writes.
+        tenant: Default tenant of statements; empty if no tenants are configured.
+        matches: Overrides of the defaults; the first match wins.
     """
 
     listen: Address
@@ -76,8 +76,8 @@
     """Endpoints that speak MySQL: the login, and the connection pool of each.
 
     Attributes:
-        max_transaction_us: After which an open transaction is rolled back.
-        certificate_authorities: What endpoints are verified against; None for connections without TLS.
+        max_transaction_us: Open transactions are rolled back after this time.
+        certificate_authorities: CA certificates for verifying endpoints; None disables TLS.
     """
 
     user: str
@@ -95,16 +95,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeSettings:
-    """All that an edge is started with.
+    """The settings of an edge.
 
     Attributes:
-        host_list: Where the list of endpoints is fetched from, unless there are `configuration_instances`.
-        saved_list: The file with the last good endpoint list.
-        saves_list: Whether this process writes it: one of several workers does.
-        answer_margin_us: Taken off each deadline, for the response's way back.
-        shutdown_timeout_us: After which a graceful shutdown is cut short.
-        max_clock_skew_us: The bound on the difference between clocks of groups and edges.
-        mysql_endpoints: None if endpoints speak gRPC.
+        host_list: Address to fetch the endpoint list from; unused with `configuration_instances`.
+        saved_list: File that caches the last valid endpoint list.
+        saves_list: Whether this process writes that file; only one of several workers does.
+        answer_margin_us: Subtracted from each deadline, for the way of the response to the client.
+        shutdown_timeout_us: A graceful shutdown is aborted after this time.
+        max_clock_skew_us: Upper bound on the clock difference between groups and edges.
+        mysql_endpoints: None if endpoints use gRPC.
     """
 
     name: str
--- a/juniperreel/settings/errors.py
+++ b/juniperreel/settings/errors.py
@@ -1,20 +1,20 @@
-"""What can be wrong with a settings file."""
+"""Errors in settings files, and the service rules that settings can break."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 RULES = {
-    1: "one final answer, before the deadline",
+    1: "one final answer in time",
     2: "no effect twice",
-    3: "drains are kept",
-    4: "no cold member is pushed over",
+    3: "drains are observed",
+    4: "no warming endpoint is overloaded",
     5: "no stale read",
 }
 
 
 class InvalidValueError(ValueError):
-    """An argument of a directive is not of the directive's type. The text says why."""
+    """An argument of a directive is invalid. The message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -22,9 +22,9 @@
     """One error in a settings file.
 
     Attributes:
-        line: Where it is, from 1.
-        reason: What is wrong.
-        rule: Which of the service's RULES the setting would break, if any.
+        line: Line number, starting at 1.
+        reason: Description of the error.
+        rule: Number of the entry of RULES that the setting would break, if any.
     """
 
     line: int
@@ -32,17 +32,17 @@
     rule: int | None = None
 
     def format(self, file: str) -> str:
-        """The problem as a line of text, in the form of compilers: file, line, reason."""
+        """Format the problem like a compiler error: file, line, reason."""
         broken_rule = f" (would break rule {self.rule}: {RULES[self.rule]})" if self.rule else ""
         return f"{file}:{self.line}: {self.reason}{broken_rule}"
 
 
 class SettingsError(Exception):
-    """A settings file was rejected as a whole.
+    """A settings file is invalid.
 
     Attributes:
-        file: Its name.
-        problems: All that is wrong with it, by line.
+        file: Name of the file.
+        problems: All its problems, sorted by line.
     """
 
     def __init__(self, file: str, problems: list[Problem]) -> None:
--- a/juniperreel/settings/mysql.py
+++ b/juniperreel/settings/mysql.py
@@ -1,4 +1,4 @@
-"""The sections of MySQL: `mysql`, the frontend, and `members`, endpoints that speak it."""
+"""The MySQL settings: the `mysql` section (front end) and the `members` section (endpoints)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def read_mysql_frontend(
     file: FileValues, directory: Path, problems: list[Problem]
 ) -> MysqlFrontendSettings | None:
-    """The frontend, or None if the file has none. Adds what is wrong to `problems`."""
+    """Read the front end settings; None if the file has none. Appends errors to `problems`."""
     section = file["mysql"][0]
     if "listen" not in section.values:
         return None
@@ -34,7 +34,7 @@
     problems += _default_class_problems(section, class_writes)
     tenants = [tenant.name for tenant in file["tenant"]]
     if section["tenant"] not in (tenants or [""]):
-        problems.append(section.problem("tenant", f"tenant: one of {', '.join(tenants)} is needed"))
+        problems.append(section.problem("tenant", f"tenant: must be one of {', '.join(tenants)}"))
     return MysqlFrontendSettings(
         listen=section["listen"],
         users=users,
@@ -57,7 +57,7 @@
             problems.append(section.problem("user", f"user {name}: {error}"))
             continue
         if not password:
-            problems.append(section.problem("user", f"user {name}: {path} holds no password"))
+            problems.append(section.problem("user", f"user {name}: {path} is empty"))
         users.append(UserPassword(name, password))
     return tuple(users)
 
@@ -66,14 +66,14 @@
     for directive, must_write in (("read", False), ("write", True)):
         name = section[directive]
         if name not in class_writes:
-            yield section.problem(directive, f"{directive}: no class is called {name!r}")
+            yield section.problem(directive, f"{directive}: unknown class {name!r}")
         elif class_writes[name] != must_write:
             verb = "does not write" if must_write else "writes"
             yield section.problem(directive, f"{directive}: class {name} {verb}", 5 if must_write else 2)
 
 
 def _read_tls_files(section: SectionValues, directory: Path, problems: list[Problem]) -> TlsFiles | None:
-    """Certificate and key, which must belong together."""
+    """Read the paths of certificate and key, and check that they form a pair."""
     if section["tls"] is None:
         return None
     certificate, key = section["tls"]
@@ -81,7 +81,7 @@
     try:
         ssl.create_default_context(ssl.Purpose.CLIENT_AUTH).load_cert_chain(files.certificate, files.key)
     except (OSError, ssl.SSLError) as error:
-        reason = getattr(error, "reason", None) or error.strerror or "not a certificate and its key"
+        reason = getattr(error, "reason", None) or error.strerror or "invalid certificate or key"
         problems.append(section.problem("tls", f"tls: {reason}"))
     return files
 
@@ -89,11 +89,11 @@
 def read_mysql_endpoints(
     file: FileValues, directory: Path, problems: list[Problem]
 ) -> MysqlEndpointSettings | None:
-    """The endpoints' login and pools, or None if they speak gRPC. Adds what is wrong to `problems`."""
+    """Read the MySQL endpoint settings; None if endpoints use gRPC. Appends errors to `problems`."""
     section = file["members"][0]
     if section["speak"] == "grpc":
         for directive in section.lines.keys() - {"speak"}:
-            reason = f"{directive}: only endpoints that speak mysql take it"
+            reason = f"{directive}: only valid with `speak mysql`"
             problems.append(section.problem(directive, reason))
         return None
     login = _read_login(section, directory, problems)
@@ -101,9 +101,9 @@
     drain_grace_us = file["rules"][0]["drain-grace"]
     max_transaction_us = section["transaction"] or drain_grace_us // 2
     if 2 * max_transaction_us > drain_grace_us:
-        # A draining primary takes writes for half the grace period: a transaction that begins then must end
-        # before the grace period does.
-        reason = "transaction: more than half of drain-grace; it would go on at an endpoint that has left"
+        # A draining primary accepts writes for half the grace period: a transaction that starts at the end of
+        # that half must finish within the grace period.
+        reason = "transaction: must not exceed half of drain-grace, or it may outlast its endpoint"
         problems.append(section.problem("transaction", reason, 3))
     certificate_authorities = _read_certificate_authorities(section, directory, problems)
     problems += _pool_problems(section, file["class"])
@@ -123,9 +123,9 @@
 
 
 def _read_login(section: SectionValues, directory: Path, problems: list[Problem]) -> UserPassword:
-    """The user and password for endpoints; empty where they are missing."""
+    """Read the user and password for endpoints; empty strings if missing."""
     if section["user"] is None:
-        reason = "speak mysql: a user and the file with its password are needed"
+        reason = "speak mysql: user with a password file is required"
         problems.append(section.problem("speak", reason))
         return UserPassword("", b"")
     name, path = section["user"]
@@ -139,9 +139,7 @@
 def _keyed_class_problems(classes: list[SectionValues]) -> Iterator[Problem]:
     for request_class in classes:
         if request_class["effect"][0] == "keyed":
-            reason = (
-                f"class {request_class.name}: endpoints that speak MySQL remember no keys; its effect is once"
-            )
+            reason = f"class {request_class.name}: MySQL endpoints do not deduplicate by key; use effect once"
             yield request_class.problem("effect", reason, 2)
 
 
@@ -154,22 +152,22 @@
     try:
         ssl.create_default_context(cafile=str(path))
     except (OSError, ssl.SSLError) as error:
-        problems.append(section.problem("tls", f"tls: {error.strerror or 'not a certificate'}"))
+        problems.append(section.problem("tls", f"tls: {error.strerror or 'invalid certificate'}"))
     return path
 
 
 def _pool_problems(section: SectionValues, classes: list[SectionValues]) -> Iterator[Problem]:
     if not 1 <= section["connections"] <= MAX_ENDPOINT_CONNECTIONS:
-        yield section.problem("connections", f"connections: 1 to {MAX_ENDPOINT_CONNECTIONS}")
+        yield section.problem("connections", f"connections: must be 1 to {MAX_ENDPOINT_CONNECTIONS}")
     if section["least"] > section["connections"]:
-        reason = f"least: more than the {section['connections']} that there may be"
+        reason = f"least: must not exceed connections ({section['connections']})"
         yield section.problem("least", reason)
     shortest_deadline_us = min((request_class["deadline"] for request_class in classes), default=0)
     if section["wait"] >= shortest_deadline_us:
-        reason = "wait: as long as a class's deadline, or longer: whoever waits is answered too late"
+        reason = "wait: must be shorter than every class's deadline, or answers after a wait are late"
         yield section.problem("wait", reason, 1)
     if section["open-rate"] <= 0:
-        yield section.problem("open-rate", "open-rate: at least some connections a second are needed")
+        yield section.problem("open-rate", "open-rate: must be above 0")
     if section["idle"] <= 0 or section["age"] < section["idle"]:
-        reason = "age: connections would be closed before they have been idle long enough"
+        reason = "age: must not be below idle, and idle must be above 0"
         yield section.problem("age", reason)
--- a/juniperreel/settings/schema.py
+++ b/juniperreel/settings/schema.py
@@ -1,7 +1,7 @@
-"""Which sections and directives a file may have, and how they are read into values.
+"""Schemas for settings files: which sections and directives a file may have, and how they are parsed.
 
-A `DirectiveSpec` names the types of a directive's arguments and whether it is required. Reading yields
-`SectionValues` for each section: typed values, with the lines that they came from.
+A `DirectiveSpec` defines the types of a directive's arguments and whether it is required. Each section is
+parsed into a `SectionValues`: typed values and their line numbers.
 """
 
 from __future__ import annotations
@@ -14,19 +14,18 @@
 from juniperreel.settings.lexer import Directive, Section
 
 REQUIRED: Any = object()
-QUOTED_LENGTH = 60  # of a directive's name in an error's text
+QUOTED_LENGTH = 60  # characters of a directive's name quoted in an error
 
 
 @dataclass(frozen=True, slots=True)
 class DirectiveSpec:
-    """One directive.
+    """The schema of a directive.
 
     Attributes:
-        parsers: One for each argument. With a single one, the directive's value is its result; with several,
-            a tuple.
-        default: The value where the directive is missing.
-        min_arguments: Arguments after this many are optional; None if none is.
-        repeated: Whether it may occur many times; its value is then a list with one item for each.
+        parsers: One per argument. With one parser the value is its result, with several a tuple.
+        default: Value if the directive is missing.
+        min_arguments: Number of required arguments; None if all are required.
+        repeated: Whether it may occur more than once; its value is then a list with one item per occurrence.
     """
 
     parsers: tuple[Callable[[str], Any], ...]
@@ -35,37 +34,37 @@
     repeated: bool = False
 
     def parse(self, arguments: tuple[str, ...]) -> Any:
-        """The value of one occurrence.
+        """Parse the arguments of one occurrence.
 
         Raises:
-            InvalidValueError: There are too few or too many arguments, or one is invalid.
+            InvalidValueError: The number of arguments is wrong, or one is invalid.
         """
-        most = len(self.parsers)
-        least = most if self.min_arguments is None else self.min_arguments
-        if not least <= len(arguments) <= most:
-            count = str(least) if least == most else f"{least} to {most}"
-            raise WrongArgumentCountError(f"takes {count} words; {len(arguments)} are given")
+        max_count = len(self.parsers)
+        min_count = max_count if self.min_arguments is None else self.min_arguments
+        if not min_count <= len(arguments) <= max_count:
+            count = str(min_count) if min_count == max_count else f"{min_count} to {max_count}"
+            raise WrongArgumentCountError(f"takes {count} argument(s), got {len(arguments)}")
         values = tuple(parse(argument) for parse, argument in zip(self.parsers, arguments, strict=False))
-        return values[0] if most == 1 else values
+        return values[0] if max_count == 1 else values
 
 
 class WrongArgumentCountError(InvalidValueError):
-    """A directive has too few or too many arguments."""
+    """A directive has the wrong number of arguments."""
 
 
 def single(parser: Callable[[str], Any], default: Any = REQUIRED) -> DirectiveSpec:
-    """A directive with one argument."""
+    """Return the schema of a directive with one argument."""
     return DirectiveSpec((parser,), default)
 
 
 @dataclass(frozen=True, slots=True)
 class SectionSpec:
-    """One kind of section.
+    """The schema of a section.
 
     Attributes:
-        directives: By name.
-        named: Whether there may be many, each with a name of its own.
-        required: Whether the file must have one.
+        directives: Directive schemas by name.
+        named: Whether sections of this kind have names; there may be several, each with a unique name.
+        required: Whether the file must have a section of this kind.
     """
 
     directives: Mapping[str, DirectiveSpec]
@@ -74,13 +73,13 @@
 
 
 class SectionValues:
-    """The values of one section by directive, and their lines.
+    """The values of a section by directive, and their line numbers.
 
     Attributes:
-        name: Of a named section; else empty.
-        line: Of the section's heading; 1 where the file has no such section.
-        values: By directive; also those that have their default.
-        lines: By directive, of the last occurrence; only those that the file has.
+        name: Name of the section; empty if it has none.
+        line: Line of the heading; 1 if the file has no such section.
+        values: Values by directive, including defaults.
+        lines: Line of the last occurrence by directive; only directives present in the file.
     """
 
     def __init__(self, section: Section) -> None:
@@ -94,15 +93,15 @@
         return self.values[directive]
 
     def line_of(self, directive: str) -> int:
-        """The directive's line, or the section's where it is missing."""
+        """Return the directive's line, or the section's line if the directive is missing."""
         return self.lines.get(directive, self.line)
 
     def lines_of(self, directive: str) -> list[int]:
-        """The lines of a repeated directive, one for each of its values."""
+        """Return the lines of a repeated directive, one per value."""
         return self._lines_of_repeated.get(directive, [])
 
     def problem(self, directive: str, reason: str, rule: int | None = None) -> Problem:
-        """A problem at the directive's line."""
+        """Return a problem located at the directive's line."""
         return Problem(self.line_of(directive), reason, rule)
 
     def add_repeated(self, directive: Directive, value: Any) -> None:
@@ -117,16 +116,16 @@
 def read_sections(
     sections: list[Section], specs: Mapping[str, SectionSpec], problems: list[Problem]
 ) -> FileValues:
-    """The sections of a file by kind, in order. Adds what is wrong to `problems`.
+    """Parse the sections of a file, by kind and in file order. Appends errors to `problems`.
 
-    Of each kind that is not named there is exactly one, with its defaults if the file has none.
+    The result has exactly one section of each unnamed kind, with default values if the file has none.
     """
     found: FileValues = {kind: [] for kind in specs}
     for section in sections:
         spec = specs.get(section.kind)
         if spec is None:
             known = ", ".join(specs)
-            reason = f"no section is called {section.kind!r}; there are {known}"
+            reason = f"unknown section {section.kind!r}; known sections: {known}"
             problems.append(Problem(section.line, reason))
             continue
         problem = _heading_problem(section, spec, found[section.kind])
@@ -140,7 +139,7 @@
         if spec.required:
             problems.append(Problem(1, f"section {kind!r} is missing"))
         if not spec.named:
-            # Its required directives are only reported for a section that the file has.
+            # Missing directives are reported only for sections that are present in the file.
             found[kind].append(read_section(Section(kind, None, 1), spec, []))
     return found
 
@@ -158,7 +157,7 @@
 
 
 def read_section(section: Section, spec: SectionSpec, problems: list[Problem]) -> SectionValues:
-    """The values of one section. Adds what is wrong to `problems`."""
+    """Parse a section. Appends errors to `problems`."""
     values = SectionValues(section)
     for directive in section.directives:
         try:
@@ -177,13 +176,13 @@
 
 
 def _read_directive(directive: Directive, section: Section, spec: SectionSpec, values: SectionValues) -> None:
-    """Add one directive to `values`. Raises InvalidValueError with the whole reason."""
+    """Parse a directive into `values`. The message of InvalidValueError is the complete reason."""
     name = directive.name
     directive_spec = spec.directives.get(name)
     if directive_spec is None:
         known = ", ".join(spec.directives)
         quoted = repr(name[:QUOTED_LENGTH])
-        raise InvalidValueError(f"{section.kind}: no directive is called {quoted}; there are {known}")
+        raise InvalidValueError(f"{section.kind}: unknown directive {quoted}; known directives: {known}")
     if name in values.lines and not directive_spec.repeated:
         raise InvalidValueError(f"{name} is already set in line {values.lines[name]}")
     values.lines[name] = directive.line
--- a/juniperreel/settings/secret_files.py
+++ b/juniperreel/settings/secret_files.py
@@ -1,4 +1,4 @@
-"""Secrets that a settings file names by the path of a file."""
+"""Secrets stored in files that a settings file refers to."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_secret(directory: Path, path: Path) -> bytes:
-    """The contents of a file, without white space around them; relative paths start at `directory`.
+    """Read a file and strip surrounding white space; relative paths are relative to `directory`.
 
     Raises:
         InvalidValueError: The file cannot be read.
@@ -22,6 +22,6 @@
 
 
 def check_key_length(path: Path, key: bytes) -> None:
-    """Raise InvalidValueError if a key is too short to sign with."""
+    """Raise InvalidValueError if a signing key is too short."""
     if len(key) < MIN_KEY_BYTES:
-        raise InvalidValueError(f"{path} holds {len(key)} bytes; {MIN_KEY_BYTES} are the least")
+        raise InvalidValueError(f"{path} holds {len(key)} bytes; at least {MIN_KEY_BYTES} are required")
--- a/juniperreel/settings/values.py
+++ b/juniperreel/settings/values.py
@@ -1,4 +1,4 @@
-"""Parsers of the values that directives take. Each takes one argument and raises InvalidValueError."""
+"""Parsers for the arguments of directives. Each parses one argument or raises InvalidValueError."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_PORT = 65535
 MAX_INTEGER_DIGITS = 18
 MAX_NAME_LENGTH = 200
-QUOTED_LENGTH = 40  # of an invalid value in an error's text
+QUOTED_LENGTH = 40  # characters of an invalid value quoted in an error
 QUOTED_ADDRESS_LENGTH = 60
 
 
@@ -28,15 +28,15 @@
 
 
 def parse_duration(argument: str) -> int:
-    """A span of time such as 250ms, in microseconds."""
+    """Parse a duration such as 250ms into microseconds."""
     match = DURATION.match(argument)
     if match is None:
-        raise InvalidValueError(f"{_quoted(argument)} is not a span of time such as 250ms, 2s or 1m")
+        raise InvalidValueError(f"{_quoted(argument)} is not a duration such as 250ms, 2s or 1m")
     return round(float(match[1]) * DURATION_UNITS_US[match[2]])
 
 
 def parse_size(argument: str) -> int:
-    """A size such as 64KiB, in bytes."""
+    """Parse a size such as 64KiB into bytes."""
     match = SIZE.match(argument)
     if match is None:
         raise InvalidValueError(f"{_quoted(argument)} is not a size such as 64KiB or 4MiB")
@@ -44,38 +44,38 @@
 
 
 def parse_percentage(argument: str) -> float:
-    """A percentage such as 20%, as a fraction from 0 to 1."""
+    """Parse a percentage such as 20% into a fraction from 0 to 1."""
     digits = argument.removesuffix("%")
     value = _float_or_nan(digits)
     if digits == argument or not math.isfinite(value) or not 0 <= value <= 100:
-        raise InvalidValueError(f"{_quoted(argument)} is not a part from 0% to 100%")
+        raise InvalidValueError(f"{_quoted(argument)} is not a percentage from 0% to 100%")
     return value / 100
 
 
 def parse_number(argument: str) -> float:
-    """A finite number of 0 or more."""
+    """Parse a finite, non-negative number."""
     value = _float_or_nan(argument)
     if not math.isfinite(value) or value < 0:
-        raise InvalidValueError(f"{_quoted(argument)} is not a number of 0 or more")
+        raise InvalidValueError(f"{_quoted(argument)} is not a non-negative number")
     return value
 
 
 def parse_integer(argument: str) -> int:
-    """An integer of 0 or more."""
+    """Parse a non-negative integer."""
     if not argument.isdigit() or len(argument) > MAX_INTEGER_DIGITS or not argument.isascii():
-        raise InvalidValueError(f"{_quoted(argument)} is not a whole number")
+        raise InvalidValueError(f"{_quoted(argument)} is not a non-negative integer")
     return int(argument)
 
 
 def parse_flag(argument: str) -> bool:
-    """`yes` or `no`."""
+    """Parse `yes` or `no`."""
     if argument not in ("yes", "no"):
         raise InvalidValueError(f"{_quoted(argument)} is neither yes nor no")
     return argument == "yes"
 
 
 def parse_address(argument: str) -> Address:
-    """An address such as 127.0.0.1:7100 or [::1]:7100."""
+    """Parse an address such as 127.0.0.1:7100 or [::1]:7100."""
     host, colon, port = argument.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > MAX_PORT:
         quoted = repr(argument[:QUOTED_ADDRESS_LENGTH])
@@ -84,19 +84,18 @@
 
 
 def parse_name(argument: str) -> str:
-    """Any text that is neither empty nor overlong."""
+    """Check the length of a name and return it unchanged."""
     if not argument or len(argument) > MAX_NAME_LENGTH:
-        raise InvalidValueError(f"a word of 1 to {MAX_NAME_LENGTH} characters is needed")
+        raise InvalidValueError(f"must have 1 to {MAX_NAME_LENGTH} characters")
     return argument
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
-    """A parser that accepts only these."""
+    """Return a parser that accepts only `choices`."""
 
     def parse(argument: str) -> str:
-        """The argument as it is."""
         if argument not in choices:
-            raise InvalidValueError(f"{_quoted(argument)} is none of {', '.join(choices)}")
+            raise InvalidValueError(f"{_quoted(argument)} is not one of {', '.join(choices)}")
         return argument
 
     return parse
--- a/tests/settings/test_configd.py
+++ b/tests/settings/test_configd.py
@@ -1,4 +1,4 @@
-"""The settings file of a configuration instance."""
+"""The settings file of a configuration instance (configd)."""
 
 from __future__ import annotations
 
--- a/tests/settings/test_edge.py
+++ b/tests/settings/test_edge.py
@@ -1,4 +1,4 @@
-"""Valid files are read as a whole; invalid ones are rejected with all their problems at once."""
+"""The settings file of an edge: valid files are read, invalid ones are rejected with all their problems."""
 
 from __future__ import annotations
 
@@ -58,26 +58,38 @@
     assert settings.mysql_frontend.max_connections == 1000
 
 
-# A replacement in the example, the text of the reported line, the reason, and the rule.
+# Text of the example, its replacement, text of the reported line, reason, and number of the broken rule.
 INVALID = [
-    ("attempts 6", "attempts six", "attempts six", "not a whole number", None),
+    ("attempts 6", "attempts six", "attempts six", "not a non-negative integer", None),
     ("attempts 6", "attempts 6\nattempts 6", "attempts 6\n[", "", None),
     ("listen 127.0.0.1:7100", "listen 7100", "listen 7100", "not an address", None),
-    ("zone 0", "zone 0\nflavour sweet", "flavour sweet", "no directive is called 'flavour'", None),
-    ("[log]", "[logs]", "[logs]", "no section is called", None),
-    ("cold-from 17%", "cold-from 17", "cold-from 17", "not a part", None),
-    ("aim 500ms", "aim 500", "aim 500", "not a span", None),
+    ("zone 0", "zone 0\nflavour sweet", "flavour sweet", "unknown directive 'flavour'", None),
+    ("[log]", "[logs]", "[logs]", "unknown section 'logs'", None),
+    ("cold-from 17%", "cold-from 17", "cold-from 17", "not a percentage", None),
+    ("aim 500ms", "aim 500", "aim 500", "not a duration", None),
     ("aim 500ms", "aim 3s", "aim 3s", "beyond the deadline", 1),
-    ("answer-margin 40ms", "answer-margin 1s", "deadline 2s", "answer margin takes half", 1),
-    ("effect keyed group 5s", "effect keyed", "effect keyed", "scope of the key", 2),
-    ("effect keyed group 5s", "effect keyed group 0s", "effect keyed group 0s", "no time", 2),
+    ("answer-margin 40ms", "answer-margin 1s", "deadline 2s", "twice the answer margin", 1),
+    ("effect keyed group 5s", "effect keyed", "effect keyed", "requires a key scope", 2),
+    (
+        "effect keyed group 5s",
+        "effect keyed group 0s",
+        "effect keyed group 0s",
+        "deduplication window of 0",
+        2,
+    ),
     ("consistency write", "consistency any", "consistency any", "only a primary", 2),
     ("effect keyed group 5s", "effect repeatable", None, "two copies of a write", 2),
     ("drain-grace 2s", "drain-grace 500ms", "drain-grace 500ms", "drain-grace", 3),
-    ("cold-span 16s", "cold-span 0s", "cold-span 0s", "cold for some time", 4),
+    ("cold-span 16s", "cold-span 0s", "cold-span 0s", "need time to warm up", 4),
     ("fall-multiple 2", "fall-multiple 0.5", "fall-multiple 0.5", "below 1", 4),
-    ("edges 3", "edges 0", "edges 0", "at least one", 4),
-    ("consistency bounded 300ms", "consistency bounded", "consistency bounded", "takes the age", 5),
+    ("edges 3", "edges 0", "edges 0", "at least 1", 4),
+    (
+        "consistency bounded 300ms",
+        "consistency bounded",
+        "consistency bounded",
+        "staleness bound is required",
+        5,
+    ),
     (
         "consistency bounded 300ms",
         "consistency bounded 60ms",
@@ -85,22 +97,22 @@
         "cannot be measured",
         5,
     ),
-    ("consistency session", "consistency session 1s", "consistency session 1s", "takes the age", 5),
+    ("consistency session", "consistency session 1s", "consistency session 1s", "not allowed otherwise", 5),
     ("key 1 token.key", "key 1 none.key", "key 1 none.key", "cannot be read", None),
-    ("key 1 token.key", "key 1 short.key", "key 1 short.key", "16 are the least", 5),
+    ("key 1 token.key", "key 1 short.key", "key 1 short.key", "at least 16 are required", 5),
     ("share 69%", "share 99%", None, "add up to", None),
     ("members-check refuse", "members-check wait", "members-check wait", "how long endpoints wait", None),
     ("skew 30ms", "", "[token]", "skew is missing", None),
     ("worth 4", "worth 0", "worth 0", "always rejected", None),
     ("[class own-read]", "[class board-read]", "[class board-read]", "already set in line", None),
     ("[class own-read]", "[class]", "[class]", "needs a name", None),
-    ("name edge-1", 'name "edge-1', 'name "edge-1', "not closed", None),
+    ("name edge-1", 'name "edge-1', 'name "edge-1', "unterminated quoted", None),
     ("name edge-1", "name edge-1\x01", "name edge-1", "control character", None),
     ("[log]", "[mysql]\n[log]", "[mysql]", "listen is missing", None),
     ("[log]", FRONTEND.replace("read own-read", "read run-write"), "read run-write", "run-write writes", 2),
     ("[log]", FRONTEND.replace("write run-write", "write own-read"), "write own-read", "does not write", 5),
     ("[log]", FRONTEND.replace("token.key", "none"), "user ada none", "cannot be read", None),
-    ("[log]", FRONTEND.replace("tenant fastlap", ""), "[mysql]", "tenant: one of", None),
+    ("[log]", FRONTEND.replace("tenant fastlap", ""), "[mysql]", "tenant: must be one of", None),
     (
         "[log]",
         FRONTEND.replace("\n[log]", "\ntls none.crt none.key\n[log]"),
@@ -109,7 +121,7 @@
         None,
     ),
     ("[log]", FRONTEND.replace("\n[log]", "\ntls token.key token.key\n[log]"), "tls token", "tls: ", None),
-    ("groups 3", "groups 3\nworkers 0", "workers 0", "workers: 1 to", 4),
+    ("groups 3", "groups 3\nworkers 0", "workers 0", "workers: must be 1 to", 4),
     ("[edge]", "stray 1\n[edge]", "stray 1", "before the first section", None),
 ]
 
@@ -143,13 +155,13 @@
 
 
 @given(st.binary(max_size=400))
-def test_noise_is_rejected(noise: bytes) -> None:
+def test_random_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(SettingsError):
-        parse_edge(noise, "noise", Path("/nonexistent"))
+        parse_edge(data, "data", Path("/nonexistent"))
 
 
 @given(st.text(max_size=200))
-def test_lex_of_any_text_returns_problems_with_lines(text: str) -> None:
+def test_lex_reports_problems_with_valid_line_numbers(text: str) -> None:
     _, problems = lex(text.encode("utf-8", "replace"))
     assert all(p.line >= 1 for p in problems)
 
@@ -185,13 +197,13 @@
 @pytest.mark.parametrize(
     "text, reason, rule",
     [
-        (with_endpoints().replace("effect once", "effect keyed group 5s"), "remember no keys", 2),
+        (with_endpoints().replace("effect once", "effect keyed group 5s"), "do not deduplicate by key", 2),
         (with_endpoints(ENDPOINTS.replace("database boards", "transaction 1m")), "half of drain-grace", 3),
-        (with_endpoints(ENDPOINTS.replace("user edge token.key\n", "")), "a user and the file", None),
+        (with_endpoints(ENDPOINTS.replace("user edge token.key\n", "")), "user with a password file", None),
         (with_endpoints(ENDPOINTS.replace("token.key", "absent")), "cannot be read", None),
         (
             with_endpoints(ENDPOINTS.replace("speak mysql", "speak grpc")),
-            "only endpoints that speak mysql",
+            "only valid with `speak mysql`",
             None,
         ),
         (with_endpoints(ENDPOINTS.replace("database boards", "tls token.key")), "tls", None),
@@ -223,15 +235,15 @@
     [
         ("read user ada class run-write", "writes", 5),
         ("write user ada class own-read", "does not write", 2),
-        ("read user ada class nothing", "no class", None),
-        ("read user ada class own-read tenant nobody", "no tenant", None),
+        ("read user ada class nothing", "unknown class 'nothing'", None),
+        ("read user ada class own-read tenant nobody", "unknown tenant 'nobody'", None),
         ("maybe user ada class own-read", "read or write", None),
         ("read user ada class own-read tenant", "has no value", None),
-        ("read user ada user bob class own-read", "twice", None),
-        ("read table a class own-read", "none of", None),
+        ("read user ada user bob class own-read", "user is set twice", None),
+        ("read table a class own-read", "not one of", None),
         ("read digest 12 class own-read", "digits", None),
         ("read user ada tenant splitwest", "class is missing", None),
-        ("read class own-read tenant splitwest", "nothing to match", None),
+        ("read class own-read tenant splitwest", "no condition", None),
     ],
 )
 def test_invalid_match_is_rejected_with_its_line(
