--- a/juniperreel/telemetry/__init__.py
+++ b/juniperreel/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""The program's log, metrics and traces. Imports nothing of ours, decides nothing.
+"""Logging, metrics and traces. This package imports no other package of the project.
 
-Nothing is imported here: a program that only logs must not pay for metrics and traces.
+Submodules are not imported here: a process that only logs must not pay for importing metrics and traces.
 """
--- a/juniperreel/telemetry/log.py
+++ b/juniperreel/telemetry/log.py
@@ -1,4 +1,4 @@
-"""The structured log: one JSON object a line, or a form for reading on a console."""
+"""Structured logging, as JSON lines or in a console format."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def make_log(form: str = "json", level: str = "info", stream: TextIO | None = None, **fields: Any) -> Any:
-    """Return a logger bound to `fields`; `form` is json or console, `level` a name of LEVELS.
+    """Return a logger bound to `fields`; `form` is json or console, `level` a key of LEVELS.
 
-    A broken pipe behind the log must not end the program, so writing errors are swallowed.
+    Write errors are ignored: a broken pipe on the log stream must not stop the process.
     """
     render: Any = structlog.processors.JSONRenderer()
     if form == "console":
         render = structlog.dev.ConsoleRenderer(colors=False)
     logger = structlog.wrap_logger(
-        Sink(stream or sys.stderr),
+        StreamLogger(stream or sys.stderr),
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
@@ -33,19 +33,19 @@
     return logger.bind(**fields)
 
 
-class Sink:
-    """Writes lines to a stream; `lost` counts those that could not be written."""
+class StreamLogger:
+    """Writes lines to a stream. `dropped_lines` counts lines that could not be written."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
-        self.lost = 0
+        self.dropped_lines = 0
 
     def msg(self, line: str) -> None:
-        """Write a line; one that cannot be written is counted and dropped."""
+        """Write a line, or drop and count it on error."""
         try:
             self._stream.write(line + "\n")
             self._stream.flush()
         except (OSError, ValueError):
-            self.lost += 1
+            self.dropped_lines += 1
 
     debug = info = warning = error = critical = exception = msg
--- a/juniperreel/telemetry/metrics.py
+++ b/juniperreel/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms of one edge, in a registry of its own."""
+"""Prometheus metrics of an edge, in a registry of their own."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-# How the workers of one edge are put together on its page of metrics.
+# How gauge values of an edge's workers are aggregated on its metrics page.
 MultiprocessMode = Literal["livesum", "livemax", "livemin"]
 BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
 
 
 class Metrics:
-    """All metrics of one edge, an attribute each.
+    """All metrics of an edge, one attribute each.
 
-    Every reason for which a request is rejected has a count of its own. The page of metrics lists them in the
-    order in which they are added here.
+    Each rejection reason is counted separately, under its own label value. The metrics page lists metrics in
+    the order in which they are registered here.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._add_configuration()
         self._add_process()
 
-        # Looking a child up by its labels costs more than counting it does.
+        # Looking up a child by its labels costs more than incrementing it, so children are cached.
         self.request = lru_cache(maxsize=1024)(self.requests.labels)
         self.took = lru_cache(maxsize=1024)(self.seconds.labels)
         self.reject = lru_cache(maxsize=1024)(self.rejected.labels)
@@ -38,93 +38,97 @@
         self.attempt_took = lru_cache(maxsize=64)(self.attempt_seconds.labels)
 
     def text(self) -> bytes:
-        """The page of metrics, as Prometheus reads it."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, text: str, *labels: str) -> Counter:
         return Counter(f"juniperreel_{name}", text, labels, registry=self.registry)
 
     def _gauge(self, name: str, text: str, *labels: str, mode: MultiprocessMode = "livesum") -> Gauge:
-        """`mode`: what becomes of it where several workers share one page."""
+        """`mode` defines how values of several workers are aggregated."""
         full_name = f"juniperreel_{name}"
         return Gauge(full_name, text, labels, registry=self.registry, multiprocess_mode=mode)
 
     def _add_requests(self) -> None:
-        """Requests of clients, by their final answers."""
+        """Register metrics of client requests."""
         self.requests = self._counter("requests", "Final answers", "cls", "outcome", "reason")
-        self.repeats = self._counter("repeats", "Requests that came marked as a retry", "cls")
+        self.repeats = self._counter("repeats", "Requests marked as a retry by the client", "cls")
         self.seconds = Histogram(
             "juniperreel_request_seconds",
-            "From taking a request to its final answer",
+            "Time from receiving a request to its final answer",
             ("cls", "outcome"),
             registry=self.registry,
             buckets=BUCKETS_S,
         )
 
     def _add_attempts(self) -> None:
-        """Attempts and probes at members, and answers that were of no use."""
-        self.attempts = self._counter("attempts", "Attempts at members that ended", "outcome")
+        """Register metrics of attempts, probes and unusable answers."""
+        self.attempts = self._counter("attempts", "Completed attempts at members", "outcome")
         self.attempt_seconds = Histogram(
             "juniperreel_attempt_seconds",
-            "Of attempts",
+            "Duration of attempts",
             ("outcome",),
             registry=self.registry,
             buckets=BUCKETS_S,
         )
-        self.probes = self._counter("probes", "Probes that ended", "outcome")
-        self.late = self._counter("late_answers", "Answers of members that came after the final one, dropped")
+        self.probes = self._counter("probes", "Completed probes", "outcome")
+        self.late = self._counter(
+            "late_answers", "Member answers dropped because the request was already answered"
+        )
         self.stale = self._counter(
-            "stale_answers", "Answers whose standing did not satisfy what was asked for"
+            "stale_answers", "Answers whose position did not satisfy the requested consistency"
         )
-        self.cut_off = self._counter("cut_off_writes", "Writes confirmed in an epoch that had ended")
+        self.cut_off = self._counter("cut_off_writes", "Writes confirmed in an epoch that had already ended")
 
     def _add_router(self) -> None:
-        """What the router was handed."""
-        self.rejected = self._counter("rejected", "Requests that never reached the module", "reason")
-        self.batches = self._counter("batches", "Batches handed to the module")
-        self.module_errors = self._counter("module_errors", "Batches in which the module failed")
+        """Register metrics of the router's input."""
+        self.rejected = self._counter("rejected", "Requests rejected before reaching the router", "reason")
+        self.batches = self._counter("batches", "Batches passed to the router")
+        self.module_errors = self._counter("module_errors", "Batches in which the router raised an error")
 
     def _add_admission(self) -> None:
-        """Requests in flight and queued, with their limits."""
-        self.open = self._gauge("open_requests", "Requests in hand")
-        self.parked = self._gauge("waiting_requests", "Requests that wait for admission")
-        self.program_limit = self._gauge("program_limit", "Requests this program lets be in hand")
-        self.lane_limit = self._gauge("lane_limit", "Requests that may be in hand", "group", "lane")
-        self.lane_in_flight = self._gauge("lane_in_hand", "Requests in hand", "group", "lane")
+        """Register metrics of admission control."""
+        self.open = self._gauge("open_requests", "Requests in flight")
+        self.parked = self._gauge("waiting_requests", "Requests waiting for admission")
+        self.program_limit = self._gauge("program_limit", "Limit of requests in flight in this process")
+        self.lane_limit = self._gauge("lane_limit", "Limit of requests in flight", "group", "lane")
+        self.lane_in_flight = self._gauge("lane_in_hand", "Requests in flight", "group", "lane")
         self.lane_waiting = self._gauge("lane_waiting", "Requests waiting for admission", "group", "lane")
 
     def _add_members(self) -> None:
-        """Members and the connections to them."""
-        self.members = self._gauge("members", "Members known, by readiness", "readiness", mode="livemax")
-        self.connections = self._gauge("member_connections", "Live connections to members")
+        """Register metrics of members and the connections to them."""
+        self.members = self._gauge("members", "Known members by readiness", "readiness", mode="livemax")
+        self.connections = self._gauge("member_connections", "Open connections to members")
 
     def _add_pools(self) -> None:
-        """Pools of connections to members that speak MySQL."""
-        self.pool = self._gauge("pool_connections", "Connections of members' pools", "member", "state")
-        self.pool_waiting = self._gauge("pool_waiting", "Transactions that wait for a connection", "member")
+        """Register metrics of the connection pools of MySQL members."""
+        self.pool = self._gauge("pool_connections", "Connections in members' pools", "member", "state")
+        self.pool_waiting = self._gauge("pool_waiting", "Transactions waiting for a connection", "member")
         self.pool_most = self._gauge(
-            "pool_most", "Connections asked of a member at most, after what it refused", "member"
+            "pool_most", "Limit of connections to a member, lowered after it refused some", "member"
         )
-        self.pool_turned = self._counter("pool_turned", "Attempts that got no connection", "reason")
-        self.pool_spent = self._counter(
-            "pool_spent", "Connections that were not lent again after a lease", "reason"
+        self.pool_turned = self._counter("pool_turned", "Attempts that did not get a connection", "reason")
+        self.pool_spent = self._counter("pool_spent", "Connections not reused after a lease", "reason")
+        self.replays = self._counter(
+            "pool_replays", "Statements replayed to restore session state on a connection"
         )
-        self.replays = self._counter("pool_replays", "Statements that took a connection to a session's state")
-        self.kills = self._counter("pool_kills", "Statements that nobody waited for, killed at their member")
+        self.kills = self._counter("pool_kills", "Abandoned statements killed at their member")
 
     def _add_configuration(self) -> None:
-        """Host list and configuration."""
+        """Register metrics of the host list and the configuration."""
         self.list_age = self._gauge(
-            "host_list_age_seconds", "Since the host list last said anything", mode="livemax"
+            "host_list_age_seconds", "Time since the last update from the host list", mode="livemax"
         )
         self.config_version = self._gauge(
-            "configuration_version", "Committed version in force", mode="livemin"
+            "configuration_version", "Committed configuration version in effect", mode="livemin"
         )
-        self.list_failures = self._counter("host_list_failures", "Host list calls that failed")
+        self.list_failures = self._counter("host_list_failures", "Failed host list calls")
 
     def _add_process(self) -> None:
-        """The process itself."""
-        self.stalls = self._counter("stalls", "Times this program stood still")
+        """Register metrics of the process."""
+        self.stalls = self._counter("stalls", "Event loop stalls")
         self.clock_drift = self._gauge(
-            "clock_drift_seconds", "Wall time ahead of the clock positions are judged by", mode="livemax"
+            "clock_drift_seconds",
+            "Wall clock time minus the process clock used for log positions",
+            mode="livemax",
         )
--- a/juniperreel/telemetry/traces.py
+++ b/juniperreel/telemetry/traces.py
@@ -1,4 +1,4 @@
-"""Spans for request, attempt and probe, where the settings ask for them."""
+"""OpenTelemetry spans for requests, attempts and probes, if enabled in the settings."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Traces:
-    """Off unless a file is given; then each span is a line of JSON in it."""
+    """Writes each span to a file as a line of JSON; disabled without a file."""
 
     def __init__(self, file: Path | None = None, name: str = "edge") -> None:
-        """`name` is the service's in all spans. Raises OSError for a file that cannot be written."""
+        """`name` is the service name of all spans. Raises OSError if the file cannot be opened."""
         self._provider: TracerProvider | None = None
         self._tracer: Any = None
         if file is not None:
@@ -27,18 +27,18 @@
 
     @property
     def on(self) -> bool:
-        """Whether spans are written; callers then need not collect their fields."""
+        """Whether spans are written; if not, callers need not collect their fields."""
         return self._tracer is not None
 
     def span(self, name: str, **fields: str | int) -> AbstractContextManager[Any]:
-        """Return a context manager that is one span; it does nothing where traces are off."""
+        """Return a context manager for a span; a no-op if tracing is disabled."""
         if self._tracer is None:
             return nullcontext()
         context: AbstractContextManager[Any] = self._tracer.start_as_current_span(name, attributes=fields)
         return context
 
     def close(self) -> None:
-        """Write the spans that wait; none may be opened afterwards."""
+        """Flush pending spans. No span may be opened afterwards."""
         if self._provider is not None:
             self._provider.shutdown()
 
