--- a/juniperreel/cli/edge.py
+++ b/juniperreel/cli/edge.py
@@ -125,7 +125,7 @@
         if self.settings.metrics is None:
             return None
         host, _ = self.settings.metrics
-        http = HttpFrontend(self.metrics.text, lambda: self.serving)
+        http = HttpFrontend(self.metrics.render, lambda: self.serving)
         listener = await self.network.listen(*self.settings.metrics)
         port = await nursery.start(http.serve, listener)
         return f"{host}:{port}"
--- a/juniperreel/frontends/outcome.py
+++ b/juniperreel/frontends/outcome.py
@@ -35,4 +35,4 @@
     """Count a finished request and observe how long it took."""
     outcome, reason = outcome_of(answer)
     metrics.request(class_name, outcome, reason).inc()
-    metrics.took(class_name, outcome).observe(duration_us / US)
+    metrics.request_duration(class_name, outcome).observe(duration_us / US)
--- a/juniperreel/proxy/gauges.py
+++ b/juniperreel/proxy/gauges.py
@@ -56,8 +56,8 @@
     def _report_discovery(self) -> None:
         discovery = self._sources.discovery
         if discovery.updated_us:
-            self._metrics.list_age.set((self._clock.now_us() - discovery.updated_us) / US)
-        self._metrics.config_version.set(discovery.version)
+            self._metrics.host_list_age.set((self._clock.now_us() - discovery.updated_us) / US)
+        self._metrics.configuration_version.set(discovery.version)
 
     def _report_clock(self) -> None:
         drift_us = self._clock.drift_us()
@@ -66,8 +66,8 @@
             self._log.warning("wall clock drift exceeds skew bound", drift_us=drift_us)
 
     def _report_requests(self) -> None:
-        self._metrics.open.set(len(self._sources.open_requests))
-        self._metrics.parked.set(len(self._sources.waiting_requests))
+        self._metrics.open_request_count.set(len(self._sources.open_requests))
+        self._metrics.waiting_request_count.set(len(self._sources.waiting_requests))
         self._metrics.program_limit.set(self._sources.admission_controller.process_limit.value)
 
     def _report_lanes(self) -> None:
@@ -79,7 +79,7 @@
 
     def _report_endpoints(self) -> None:
         connections = self._sources.connections
-        self._metrics.connections.set(connections.connection_count)
+        self._metrics.member_connections.set(connections.connection_count)
         if isinstance(connections, MysqlEndpoints):
             connections.report_gauges()
         self._metrics.members.labels("known").set(self._sources.registry.listed_count)
--- a/juniperreel/proxy/mysql_endpoints.py
+++ b/juniperreel/proxy/mysql_endpoints.py
@@ -90,11 +90,11 @@
     def report_gauges(self, metrics: Metrics) -> None:
         """Write the pool's gauges to the metrics."""
         pool = self.pool.core
-        metrics.pool.labels(self.name, "leased").set(pool.leased)
-        metrics.pool.labels(self.name, "idle").set(pool.idle)
-        metrics.pool.labels(self.name, "opening").set(pool.opening)
+        metrics.pool_connections.labels(self.name, "leased").set(pool.leased)
+        metrics.pool_connections.labels(self.name, "idle").set(pool.idle)
+        metrics.pool_connections.labels(self.name, "opening").set(pool.opening)
         metrics.pool_waiting.labels(self.name).set(pool.waiting)
-        metrics.pool_most.labels(self.name).set(pool.connection_limit)
+        metrics.pool_limit.labels(self.name).set(pool.connection_limit)
 
 
 class MysqlEndpoints:
@@ -285,7 +285,7 @@
             if text is None:
                 continue
             self.replayed += 1
-            self._metrics.replays.inc()
+            self._metrics.pool_replays.inc()
             (answer,) = await backend.exchange([Statement(text)])
             if isinstance(answer, Err):
                 # How much of the state the endpoint took over is not known: nobody may reuse it.
--- a/juniperreel/proxy/mysql_monitor.py
+++ b/juniperreel/proxy/mysql_monitor.py
@@ -82,7 +82,7 @@
                     if not backend.close_reason:
                         await backend.exchange([Statement(f"kill {thread}".encode())])
                         self.killed += 1
-                        self._metrics.kills.inc()
+                        self._metrics.pool_kills.inc()
         except (ConnectionLostError, ResultTooLargeError):
             pass  # the connection broke, and the server's statement may have ended with it
         finally:
--- a/juniperreel/proxy/mysql_pool.py
+++ b/juniperreel/proxy/mysql_pool.py
@@ -172,7 +172,7 @@
             # A transaction that is still open would take in the next client's statement.
             reason = TRANSACTION_OPEN
         if reason:
-            self._metrics.pool_spent.labels(reason).inc()
+            self._metrics.pool_discards.labels(reason).inc()
             backend.close()
         self._apply(self.core.release(self._clock.now_us(), lease, not reason, backend.session_state))
 
@@ -182,7 +182,7 @@
                 case LeaseGranted(lease):
                     self._grant(lease)
                 case AcquireRejected(want, reason):
-                    self._metrics.pool_turned.labels(reason).inc()
+                    self._metrics.pool_rejections.labels(reason).inc()
                     waiter = self._waiters.pop(want.id, None)
                     if waiter is not None:
                         waiter.reject(reason)
--- a/juniperreel/proxy/request_admission.py
+++ b/juniperreel/proxy/request_admission.py
@@ -61,7 +61,7 @@
         rejection = self._controller.reject_early(now, class_index, tenant_index, group, remaining_us)
         if rejection is None:
             return None
-        self._metrics.reject(rejection.reason).inc()
+        self._metrics.rejection(rejection.reason).inc()
         return Rejected(rejection.reason, rejection.retry_after_us, local=True)
 
     def withdraw(self, request_id: str) -> bool:
@@ -90,7 +90,7 @@
                 case Admission(request_id):
                     self._admit(request_id, open_request)
                 case Rejection(_, reason, retry_after_us):
-                    self._metrics.reject(reason).inc()
+                    self._metrics.rejection(reason).inc()
                     if open_request is not None:
                         open_request.set_answer(Rejected(reason, retry_after_us, local=True))
         if decisions:
--- a/juniperreel/proxy/request_driver.py
+++ b/juniperreel/proxy/request_driver.py
@@ -331,7 +331,7 @@
 
     def _apply_endpoint_list(self, update: EndpointListUpdated) -> EndpointUpdate:
         if update.kind is UpdateKind.FAILED:
-            self.metrics.list_failures.inc()
+            self.metrics.host_list_failures.inc()
         self.registry.apply(update, self.endpoints)
         for group, size in self.registry.group_sizes().items():
             self.admission_controller.set_endpoint_count(group, size)
--- a/juniperreel/proxy/response_check.py
+++ b/juniperreel/proxy/response_check.py
@@ -78,14 +78,14 @@
         if self._positions.holds_commit(group, epoch, response.commit_position):
             return Outcome.OK
         # A deposed primary confirmed a write that the group will never hold.
-        self._metrics.cut_off.inc()
+        self._metrics.cut_off_writes.inc()
         return Outcome.RESET
 
     def _check_read(self, attempt: Attempt, response: AttemptResponse) -> Outcome:
         if attempt.required.is_met_by(response.status):
             return Outcome.OK
         # The endpoint was truncated or restored from a backup since its position was recorded.
-        self._metrics.stale.inc()
+        self._metrics.stale_answers.inc()
         return Outcome.INELIGIBLE
 
     def answer(self, completed: AttemptCompleted) -> Answer:
--- a/juniperreel/proxy/router_events.py
+++ b/juniperreel/proxy/router_events.py
@@ -106,13 +106,13 @@
             duration_us=completed.duration_us,
         )
         self._metrics.attempt(outcome.value).inc()
-        self._metrics.attempt_took(outcome.value).observe(completed.duration_us / US)
+        self._metrics.attempt_duration(outcome.value).observe(completed.duration_us / US)
 
     def _answer(self, completed: AttemptCompleted, client_disconnected: bool) -> None:
         open_request = completed.attempt.open_request
         open_request.served_us = completed.duration_us
         if open_request.answer is not None or client_disconnected:
-            self._metrics.late.inc()
+            self._metrics.late_answers.inc()
             completed.discard_response()
         else:
             self._requests.answer(open_request, self._response_check.answer(completed))
--- a/juniperreel/telemetry/metrics.py
+++ b/juniperreel/telemetry/metrics.py
@@ -32,12 +32,12 @@
 
         # Looking up a child by its labels costs more than incrementing it, so children are cached.
         self.request = lru_cache(maxsize=1024)(self.requests.labels)
-        self.took = lru_cache(maxsize=1024)(self.seconds.labels)
-        self.reject = lru_cache(maxsize=1024)(self.rejected.labels)
+        self.request_duration = lru_cache(maxsize=1024)(self.request_seconds.labels)
+        self.rejection = lru_cache(maxsize=1024)(self.rejected.labels)
         self.attempt = lru_cache(maxsize=64)(self.attempts.labels)
-        self.attempt_took = lru_cache(maxsize=64)(self.attempt_seconds.labels)
+        self.attempt_duration = lru_cache(maxsize=64)(self.attempt_seconds.labels)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
@@ -53,7 +53,7 @@
         """Register metrics of client requests."""
         self.requests = self._counter("requests", "Final answers", "cls", "outcome", "reason")
         self.repeats = self._counter("repeats", "Requests marked as a retry by the client", "cls")
-        self.seconds = Histogram(
+        self.request_seconds = Histogram(
             "juniperreel_request_seconds",
             "Time from receiving a request to its final answer",
             ("cls", "outcome"),
@@ -72,13 +72,15 @@
             buckets=BUCKETS_S,
         )
         self.probes = self._counter("probes", "Completed probes", "outcome")
-        self.late = self._counter(
+        self.late_answers = self._counter(
             "late_answers", "Member answers dropped because the request was already answered"
         )
-        self.stale = self._counter(
+        self.stale_answers = self._counter(
             "stale_answers", "Answers whose position did not satisfy the requested consistency"
         )
-        self.cut_off = self._counter("cut_off_writes", "Writes confirmed in an epoch that had already ended")
+        self.cut_off_writes = self._counter(
+            "cut_off_writes", "Writes confirmed in an epoch that had already ended"
+        )
 
     def _add_router(self) -> None:
         """Register metrics of the router's input."""
@@ -88,8 +90,8 @@
 
     def _add_admission(self) -> None:
         """Register metrics of admission control."""
-        self.open = self._gauge("open_requests", "Requests in flight")
-        self.parked = self._gauge("waiting_requests", "Requests waiting for admission")
+        self.open_request_count = self._gauge("open_requests", "Requests in flight")
+        self.waiting_request_count = self._gauge("waiting_requests", "Requests waiting for admission")
         self.program_limit = self._gauge("program_limit", "Limit of requests in flight in this process")
         self.lane_limit = self._gauge("lane_limit", "Limit of requests in flight", "group", "lane")
         self.lane_in_flight = self._gauge("lane_in_hand", "Requests in flight", "group", "lane")
@@ -98,31 +100,35 @@
     def _add_members(self) -> None:
         """Register metrics of members and the connections to them."""
         self.members = self._gauge("members", "Known members by readiness", "readiness", mode="livemax")
-        self.connections = self._gauge("member_connections", "Open connections to members")
+        self.member_connections = self._gauge("member_connections", "Open connections to members")
 
     def _add_pools(self) -> None:
         """Register metrics of the connection pools of MySQL members."""
-        self.pool = self._gauge("pool_connections", "Connections in members' pools", "member", "state")
+        self.pool_connections = self._gauge(
+            "pool_connections", "Connections in members' pools", "member", "state"
+        )
         self.pool_waiting = self._gauge("pool_waiting", "Transactions waiting for a connection", "member")
-        self.pool_most = self._gauge(
+        self.pool_limit = self._gauge(
             "pool_most", "Limit of connections to a member, lowered after it refused some", "member"
         )
-        self.pool_turned = self._counter("pool_turned", "Attempts that did not get a connection", "reason")
-        self.pool_spent = self._counter("pool_spent", "Connections not reused after a lease", "reason")
-        self.replays = self._counter(
+        self.pool_rejections = self._counter(
+            "pool_turned", "Attempts that did not get a connection", "reason"
+        )
+        self.pool_discards = self._counter("pool_spent", "Connections not reused after a lease", "reason")
+        self.pool_replays = self._counter(
             "pool_replays", "Statements replayed to restore session state on a connection"
         )
-        self.kills = self._counter("pool_kills", "Abandoned statements killed at their member")
+        self.pool_kills = self._counter("pool_kills", "Abandoned statements killed at their member")
 
     def _add_configuration(self) -> None:
         """Register metrics of the host list and the configuration."""
-        self.list_age = self._gauge(
+        self.host_list_age = self._gauge(
             "host_list_age_seconds", "Time since the last update from the host list", mode="livemax"
         )
-        self.config_version = self._gauge(
+        self.configuration_version = self._gauge(
             "configuration_version", "Committed configuration version in effect", mode="livemin"
         )
-        self.list_failures = self._counter("host_list_failures", "Failed host list calls")
+        self.host_list_failures = self._counter("host_list_failures", "Failed host list calls")
 
     def _add_process(self) -> None:
         """Register metrics of the process."""
--- a/tests/cli/test_pool.py
+++ b/tests/cli/test_pool.py
@@ -23,11 +23,11 @@
 
 
 async def test_pool_show_prints_members_of_an_edge_that_serves(world: World, nursery: trio.Nursery) -> None:
-    http = HttpFrontend(world.edge.metrics.text, lambda: True)
+    http = HttpFrontend(world.edge.metrics.render, lambda: True)
     listener = await TcpNetwork().listen("127.0.0.1", 0)
     port = await nursery.start(http.serve, listener)
     with trio.fail_after(20):
-        while "juniperreel_pool_most" not in world.edge.metrics.text().decode() or not world.metric(
+        while "juniperreel_pool_most" not in world.edge.metrics.render().decode() or not world.metric(
             "pool_most", member=world.primary.name
         ):
             await trio.sleep(0.05)
