--- a/juniperreel/cli/worker.py
+++ b/juniperreel/cli/worker.py
@@ -67,7 +67,7 @@
         max_open_requests=max(1, settings.max_open_requests // workers),
         max_connections=max(1, settings.max_connections // workers),
         mysql_frontend=mysql,
-        saves_list=slot == 0,
+        writes_list_cache=slot == 0,
     )
 
 
--- a/juniperreel/settings/edge.py
+++ b/juniperreel/settings/edge.py
@@ -106,7 +106,7 @@
         seed=edge["seed"],
         host_list=hosts["source"] or NO_ADDRESS,
         configuration_instances=tuple(hosts["instance"]),
-        saved_list=directory / hosts["saved"] if hosts["saved"] else None,
+        list_cache_path=directory / hosts["saved"] if hosts["saved"] else None,
         list_timeout_us=hosts["timeout"],
         router=_router_settings(file),
         answer_margin_us=file["rules"][0]["answer-margin"],
--- a/juniperreel/settings/edge_settings.py
+++ b/juniperreel/settings/edge_settings.py
@@ -99,8 +99,8 @@
 
     Attributes:
         host_list: Address to fetch the endpoint list from; unused with `configuration_instances`.
-        saved_list: File that caches the last valid endpoint list.
-        saves_list: Whether this process writes that file; only one of several workers does.
+        list_cache_path: File that caches the last valid endpoint list.
+        writes_list_cache: Whether this process writes that file; only one of several workers does.
         answer_margin_us: Subtracted from each deadline, for the way of the response to the client.
         shutdown_timeout_us: A graceful shutdown is aborted after this time.
         max_clock_skew_us: Upper bound on the clock difference between groups and edges.
@@ -115,7 +115,7 @@
     seed: int | None
     host_list: Address
     configuration_instances: tuple[Address, ...]
-    saved_list: Path | None
+    list_cache_path: Path | None
     list_timeout_us: int
     router: Settings
     answer_margin_us: int
@@ -134,4 +134,4 @@
     span_file: Path | None
     mysql_frontend: MysqlFrontendSettings | None
     mysql_endpoints: MysqlEndpointSettings | None = None
-    saves_list: bool = True
+    writes_list_cache: bool = True
--- a/tests/settings/test_edge.py
+++ b/tests/settings/test_edge.py
@@ -39,7 +39,7 @@
     assert settings.router.classes[0].max_staleness_us == 300_000
     assert [t.capacity_share for t in settings.router.tenants] == [0.69, 0.16, 0.15]
     assert settings.token_keys == ((1, b"k" * 32),)
-    assert settings.saved_list == directory / "edge-1.hosts"
+    assert settings.list_cache_path == directory / "edge-1.hosts"
 
 
 FRONTEND = """[mysql]
