--- a/juniperreel/net/acceptor.py
+++ b/juniperreel/net/acceptor.py
@@ -65,13 +65,13 @@
                     return False
                 continue  # this connection was aborted before it was accepted
             self._backoff.reset()
-            transport = self._prepare(connection)
+            transport = self._create_transport(connection)
             if transport is not None:
                 self._on_accepted(transport)
         self._reset_waiting_since_if_queue_empty()
         return False
 
-    def _prepare(self, connection: socket.socket) -> Transport | None:
+    def _create_transport(self, connection: socket.socket) -> Transport | None:
         """Return a transport for the connection, or close it and return None if resources are exhausted."""
         try:
             connection.setblocking(False)
--- a/juniperreel/settings/checks.py
+++ b/juniperreel/settings/checks.py
@@ -117,7 +117,7 @@
     if not 1 <= rules["attempts"] <= MAX_ATTEMPTS:
         yield rules.problem("attempts", f"attempts: must be 1 to {MAX_ATTEMPTS}")
     if rules["answer-margin"] < MIN_ANSWER_MARGIN_US:
-        reason = "answer-margin: must be at least 1ms, for the way of the answer to the client"
+        reason = "answer-margin: must be at least 1ms, to cover the response's way back"
         yield rules.problem("answer-margin", reason, 1)
     if not rules["cancelling"] and rules["second-copies"]:
         reason = "second-copies: without cancelling, second copies continue after the answer"
--- a/juniperreel/settings/edge_settings.py
+++ b/juniperreel/settings/edge_settings.py
@@ -101,7 +101,7 @@
         host_list: Address to fetch the endpoint list from; unused with `configuration_instances`.
         list_cache_path: File that caches the last valid endpoint list.
         writes_list_cache: Whether this process writes that file; only one of several workers does.
-        answer_margin_us: Subtracted from each deadline, for the way of the response to the client.
+        answer_margin_us: Subtracted from each deadline, to cover the response's way back to the client.
         shutdown_timeout_us: A graceful shutdown is aborted after this time.
         max_clock_skew_us: Upper bound on the clock difference between groups and edges.
         mysql_endpoints: None if endpoints use gRPC.
--- a/juniperreel/settings/mysql.py
+++ b/juniperreel/settings/mysql.py
@@ -169,5 +169,7 @@
     if section["open-rate"] <= 0:
         yield section.problem("open-rate", "open-rate: must be above 0")
     if section["idle"] <= 0 or section["age"] < section["idle"]:
-        reason = "age: must not be below idle, and idle must be above 0"
+        reason = (
+            "age: must not be below idle (above 0), or connections close before they are idle long enough"
+        )
         yield section.problem("age", reason)
--- a/juniperreel/settings/values.py
+++ b/juniperreel/settings/values.py
@@ -94,6 +94,7 @@
     """Return a parser that accepts only `choices`."""
 
     def parse(argument: str) -> str:
+        """Return the argument unchanged if it is one of `choices`."""
         if argument not in choices:
             raise InvalidValueError(f"{_quoted(argument)} is not one of {', '.join(choices)}")
         return argument
--- a/juniperreel/telemetry/metrics.py
+++ b/juniperreel/telemetry/metrics.py
@@ -41,13 +41,13 @@
         """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        return Counter(f"juniperreel_{name}", text, labels, registry=self.registry)
+    def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        return Counter(f"juniperreel_{name}", help_text, labels, registry=self.registry)
 
-    def _gauge(self, name: str, text: str, *labels: str, mode: MultiprocessMode = "livesum") -> Gauge:
+    def _gauge(self, name: str, help_text: str, *labels: str, mode: MultiprocessMode = "livesum") -> Gauge:
         """`mode` defines how values of several workers are aggregated."""
         full_name = f"juniperreel_{name}"
-        return Gauge(full_name, text, labels, registry=self.registry, multiprocess_mode=mode)
+        return Gauge(full_name, help_text, labels, registry=self.registry, multiprocess_mode=mode)
 
     def _add_requests(self) -> None:
         """Register metrics of client requests."""
--- a/juniperreel/telemetry/traces.py
+++ b/juniperreel/telemetry/traces.py
@@ -26,7 +26,7 @@
             self._tracer = self._provider.get_tracer("juniperreel")
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Whether spans are written; if not, callers need not collect their fields."""
         return self._tracer is not None
 
--- a/tests/net/test_ports.py
+++ b/tests/net/test_ports.py
@@ -28,7 +28,7 @@
 
 
 async def test_reserved_ports_are_not_used_as_ephemeral_ports() -> None:
-    """An outgoing connection must not occupy the port of a server that is about to restart."""
+    """Any free port may become the local port of an outgoing connection, which would block a restart."""
     reserved = [ReservedPort() for _ in range(50)]
     reserved_numbers = {reservation.port for reservation in reserved}
     network = TcpNetwork()
--- a/tests/postgres/test_connections.py
+++ b/tests/postgres/test_connections.py
@@ -8,17 +8,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from juniperreel.postgres import client, server
-from juniperreel.postgres import messages as m
+from juniperreel.postgres import client, messages, server
 from juniperreel.postgres.messages import ProtocolError
 
-STARTUP = m.startup("worker", "catalog")
+STARTUP = messages.startup("worker", "catalog")
 ROW = (
-    m.message(b"T", b"\0\1body\0" + struct.pack("!IhIhih", 0, 0, 17, -1, -1, 1))
-    + m.message(b"D", b"\0\1" + struct.pack("!I", 3) + b"abc")
-    + m.message(b"C", b"SELECT 1\0")
+    messages.message(b"T", b"\0\1body\0" + struct.pack("!IhIhih", 0, 0, 17, -1, -1, 1))
+    + messages.message(b"D", b"\0\1" + struct.pack("!I", 3) + b"abc")
+    + messages.message(b"C", b"SELECT 1\0")
+)
+STATUS = messages.parameter("replication_role", "standby") + messages.parameter(
+    "log_position", "1767225600123"
 )
-STATUS = m.parameter("replication_role", "standby") + m.parameter("log_position", "1767225600123")
 
 
 def busy_connection() -> client.ClientConnection:
@@ -39,7 +40,7 @@
 
 def test_queries_pipelined_with_the_startup_message_are_returned() -> None:
     connection = server.ServerConnection()
-    connection.receive_data(STARTUP + m.query(b"one") + m.query(b"two"))
+    connection.receive_data(STARTUP + messages.query(b"one") + messages.query(b"two"))
     assert connection.next_query() == server.Query(b"one")
     assert bytes(connection.outgoing) == server.STARTUP_RESPONSE
     assert connection.next_query() == server.Query(b"two")
@@ -49,7 +50,13 @@
 
 @given(st.integers(1, 40))
 def test_commands_split_at_any_boundary_are_parsed(size: int) -> None:
-    data = m.UINT32.pack(8) + m.UINT32.pack(m.SSL_REQUEST) + STARTUP + m.query(b"a query") + b"X\0\0\0\4"
+    data = (
+        messages.UINT32.pack(8)
+        + messages.UINT32.pack(messages.SSL_REQUEST)
+        + STARTUP
+        + messages.query(b"a query")
+        + b"X\0\0\0\4"
+    )
     connection = server.ServerConnection()
     texts = []
     for at in range(0, len(data), size):
@@ -67,15 +74,15 @@
         b"\0\0\0\7",
         b"\0\0\x4e\x20",  # over the limit of startup messages
         b"GET / HTTP/1.1\r\n",
-        m.UINT32.pack(8) + m.UINT32.pack(2 << 16),
-        m.UINT32.pack(9) + m.UINT32.pack(m.PROTOCOL_3) + b"\0",
+        messages.UINT32.pack(8) + messages.UINT32.pack(2 << 16),
+        messages.UINT32.pack(9) + messages.UINT32.pack(messages.PROTOCOL_3) + b"\0",
         STARTUP + b"!",
         STARTUP + b"Q\0\0\0\3",
         STARTUP + b"Q\x80\0\0\0",
-        STARTUP + b"Q" + m.UINT32.pack(60 << 20),  # rejected on its header alone
-        STARTUP + m.message(b"Q", b"no end"),
-        STARTUP + m.message(b"Q", b"two\0ends\0"),
-        STARTUP + m.message(b"P", b"\0select 1\0\0\0"),
+        STARTUP + b"Q" + messages.UINT32.pack(60 << 20),  # rejected on its header alone
+        STARTUP + messages.message(b"Q", b"no end"),
+        STARTUP + messages.message(b"Q", b"two\0ends\0"),
+        STARTUP + messages.message(b"P", b"\0select 1\0\0\0"),
     ],
 )
 def test_invalid_command_raises_protocol_error(data: bytes) -> None:
@@ -98,7 +105,7 @@
 
 def test_reply_received_byte_by_byte_is_returned_once_complete() -> None:
     connection = busy_connection()
-    data = ROW + STATUS + m.READY
+    data = ROW + STATUS + messages.READY
     replies = [connection.receive_data(data[at : at + 1]) for at in range(len(data))]
     assert replies[:-1] == [None] * (len(data) - 1)
     reply = replies[-1]
@@ -111,9 +118,9 @@
 
 
 def test_connection_with_bytes_after_a_reply_is_not_reusable() -> None:
-    for extra in (b"x", ROW + m.READY):
+    for extra in (b"x", ROW + messages.READY):
         connection = busy_connection()
-        reply = connection.receive_data(ROW + m.READY + extra)
+        reply = connection.receive_data(ROW + messages.READY + extra)
         assert reply is not None
         assert reply.rows == ROW
         assert not connection.is_reusable
@@ -123,14 +130,14 @@
     "data",
     [
         b"\0\0\0\0\0\0",
-        b"D" + m.UINT32.pack(3 << 30),  # announces a value of 3 GB
-        b"T" + m.UINT32.pack(2),
-        m.message(b"D", b"\0\1\0\0\0\0"),  # DataRow without RowDescription
-        ROW[: ROW.index(b"C\0\0\0")] + m.READY,  # no CommandComplete
-        ROW + m.message(b"D", b"\0\1" + struct.pack("!I", 1) + b"z"),
+        b"D" + messages.UINT32.pack(3 << 30),  # announces a value of 3 GB
+        b"T" + messages.UINT32.pack(2),
+        messages.message(b"D", b"\0\1\0\0\0\0"),  # DataRow without RowDescription
+        ROW[: ROW.index(b"C\0\0\0")] + messages.READY,  # no CommandComplete
+        ROW + messages.message(b"D", b"\0\1" + struct.pack("!I", 1) + b"z"),
         ROW.replace(struct.pack("!I", 3) + b"abc", struct.pack("!I", 2) + b"abc"),
-        m.READY,
-        m.message(b"S", b"no end"),
+        messages.READY,
+        messages.message(b"S", b"no end"),
     ],
 )
 def test_malformed_reply_raises_protocol_error_and_returns_nothing(data: bytes) -> None:
@@ -143,7 +150,7 @@
 @given(st.binary(max_size=200), st.integers(0, 200))
 def test_random_bytes_inside_a_reply_do_not_truncate_it(noise: bytes, at: int) -> None:
     connection = busy_connection()
-    data = ROW + STATUS + m.READY
+    data = ROW + STATUS + messages.READY
     at = min(at, len(data))
     try:
         reply = connection.receive_data(data[:at] + noise + data[at:])
@@ -156,25 +163,25 @@
 
 def test_error_is_available_for_reusable_closed_and_incomplete_replies() -> None:
     connection = busy_connection()
-    reply = connection.receive_data(m.error("ERROR", "25006", "read only") + STATUS + m.READY)
+    reply = connection.receive_data(messages.error("ERROR", "25006", "read only") + STATUS + messages.READY)
     assert reply is not None
     assert reply.error is not None
     assert reply.error["C"] == "25006"
     assert reply.parameters
     assert connection.is_reusable
     connection = busy_connection()
-    reply = connection.receive_data(m.error("FATAL", "53300", "full"))
+    reply = connection.receive_data(messages.error("FATAL", "53300", "full"))
     assert reply is not None
     assert connection.phase is client.Phase.CLOSED
     connection = busy_connection()
-    assert connection.receive_data(m.error("ERROR", "53300", "full")) is None
+    assert connection.receive_data(messages.error("ERROR", "53300", "full")) is None
     assert connection.partial_reply.error is not None
 
 
 def test_startup_rejected_by_the_server_raises_protocol_error() -> None:
     connection = client.ClientConnection("worker", "catalog")
     with pytest.raises(ProtocolError):
-        connection.receive_data(m.error("FATAL", "53300", "too many connections"))
+        connection.receive_data(messages.error("FATAL", "53300", "too many connections"))
     assert connection.partial_reply.error is not None
     assert connection.partial_reply.error["C"] == "53300"
 
@@ -183,7 +190,7 @@
     rejected = server.rejected("busy", 120)
     assert b"C53300\0" in rejected
     assert b"D120\0" in rejected
-    assert rejected.endswith(m.READY)
+    assert rejected.endswith(messages.READY)
     assert b"\0D" not in server.rejected("busy", 0)
     failed = server.failed("08007", "unknown")
     assert b"53300" not in failed
