--- a/juniperreel/net/stall_monitor.py
+++ b/juniperreel/net/stall_monitor.py
@@ -34,7 +34,7 @@
         self._ticker: trio.CancelScope | None = None
         self._ready_since_us = self._polled_us
         self._new_work_ns = 0  # time spent on new work in this iteration
-        self._longest_iteration_us = 0  # since the last `take_longest_pass_us`, excluding new work
+        self._longest_iteration_us = 0  # since the last `take_longest_iteration_us`, excluding new work
 
     def install(self) -> None:
         """Start observing the current trio run."""
@@ -84,7 +84,7 @@
         """Earliest time at which the sockets found by the last poll may have become readable."""
         return self._ready_since_us
 
-    def take_longest_pass_us(self) -> int:
+    def take_longest_iteration_us(self) -> int:
         """Return the longest iteration since the last call, excluding time spent on new work."""
         longest_us = self._longest_iteration_us
         self._longest_iteration_us = 0
--- a/juniperreel/proxy/request_driver.py
+++ b/juniperreel/proxy/request_driver.py
@@ -285,7 +285,7 @@
     def _process_due(self) -> None:
         now = self.clock.now_us()
         if self._stall_monitor is not None:
-            self.admission_controller.on_loop_lag(now, self._stall_monitor.take_longest_pass_us())
+            self.admission_controller.on_loop_lag(now, self._stall_monitor.take_longest_iteration_us())
         self.admission.process_due(now)
         if self.process_batch(now):
             self.metrics.batches.inc()
