--- a/juniperreel/proxy/mysql_monitor.py
+++ b/juniperreel/proxy/mysql_monitor.py
@@ -84,7 +84,7 @@
                     if not backend.close_reason:
                         await backend.exchange([Statement(f"kill {thread_id}".encode())])
                         self.statements_killed += 1
-                        self._metrics.kills.inc()
+                        self._metrics.pool_kills.inc()
         except (ConnectionLostError, ResultTooLargeError):
             pass  # the monitoring connection was lost; the statement may have ended with the server
         finally:
--- a/juniperreel/proxy/mysql_pool.py
+++ b/juniperreel/proxy/mysql_pool.py
@@ -174,7 +174,7 @@
             # The next client's statement would become part of the transaction that is still open.
             reason = TRANSACTION_OPEN
         if reason:
-            self._metrics.pool_spent.labels(reason).inc()
+            self._metrics.pool_discards.labels(reason).inc()
             backend.close()
         self._apply(self.core.release(self._clock.now_us(), lease, not reason, backend.session_state))
 
@@ -184,7 +184,7 @@
                 case LeaseGranted(lease):
                     self._grant(lease)
                 case AcquireRejected(acquire_request, reason):
-                    self._metrics.pool_turned.labels(reason).inc()
+                    self._metrics.pool_rejections.labels(reason).inc()
                     waiter = self._waiters.pop(acquire_request.id, None)
                     if waiter is not None:
                         waiter.reject(reason)
--- a/juniperreel/proxy/request_driver.py
+++ b/juniperreel/proxy/request_driver.py
@@ -294,7 +294,7 @@
     def _process_due(self) -> None:
         now = self.clock.now_us()
         if self._stall_monitor is not None:
-            self.admission_controller.on_loop_lag(now, self._stall_monitor.take_longest_pass_us())
+            self.admission_controller.on_loop_lag(now, self._stall_monitor.take_longest_iteration_us())
         self.admission.process_due(now)
         if self.process_batch(now):
             self.metrics.batches.inc()
@@ -340,7 +340,7 @@
 
     def _apply_endpoint_list(self, update: EndpointListUpdated) -> EndpointUpdate:
         if update.kind is UpdateKind.FAILED:
-            self.metrics.list_failures.inc()
+            self.metrics.host_list_failures.inc()
         self.registry.apply(update, self.endpoints)
         for group, size in self.registry.group_sizes().items():
             self.admission_controller.set_endpoint_count(group, size)
