--- a/juniperreel/cli/__init__.py
+++ b/juniperreel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands: wiring of all rooms, no logic."""
+"""The command line: wires the packages together and holds no logic of its own."""
--- a/juniperreel/cli/call.py
+++ b/juniperreel/cli/call.py
@@ -1,4 +1,4 @@
-"""`juniperreel call`: one request from the shell, the token kept in a file from call to call."""
+"""`juniperreel call`: sends one request to an edge and keeps the causal token in a file between calls."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 def parse_value(text: str) -> values_pb2.Value:
-    """Return the value of a parameter.
+    """Parse a statement parameter.
 
-    `i:5`, `r:0.5` and `null:` are an integer, a real and NULL; `t:` and anything else is text. Raises
-    click.BadParameter.
+    `i:5` is an integer, `r:0.5` a real number and `null:` NULL; everything else is text, with an optional
+    prefix `t:`. Raises click.BadParameter.
     """
     kind, colon, rest = text.partition(":")
     try:
@@ -35,14 +35,14 @@
         if colon and kind == "r":
             return values_pb2.Value(real=float(rest))
     except ValueError:
-        raise click.BadParameter(f"{text!r} is no number") from None
+        raise click.BadParameter(f"{text!r} is not a number") from None
     if text == "null:":
         return values_pb2.Value(null=True)
     return values_pb2.Value(text=rest if colon and kind == "t" else text)
 
 
-def format_value(value: values_pb2.Value) -> str:
-    """One cell of a row: blobs in hexadecimal, NULL as such."""
+def format_cell(value: values_pb2.Value) -> str:
+    """Format one cell of a row, with blobs in hexadecimal."""
     kind = value.WhichOneof("kind")
     if kind in (None, "null"):
         return "NULL"
@@ -52,9 +52,9 @@
 async def execute(
     host: str, port: int, request: records_pb2.ExecuteRequest, timeout_s: float
 ) -> records_pb2.ExecuteResponse:
-    """Send one request over a connection of its own.
+    """Send one request over a new connection.
 
-    Raises, in a group, RpcError, ConnectError, CallUnprocessedError, CallInterruptedError, or
+    Raises an exception group of RpcError, ConnectError, CallUnprocessedError, CallInterruptedError or
     trio.TooSlowError.
     """
     timeout_us = int(timeout_s * US)
@@ -68,15 +68,15 @@
 
 
 def execute_or_exit(
-    edge: str, request: records_pb2.ExecuteRequest, timeout_s: float
+    address: str, request: records_pb2.ExecuteRequest, timeout_s: float
 ) -> records_pb2.ExecuteResponse:
-    """Return the edge's response; say what went wrong and end the command with 1 if there is none.
+    """Return the edge's response, or print the error and exit with status 1.
 
-    Raises click.BadParameter for an address that is not host:port.
+    Raises click.BadParameter if the address is not of the form host:port.
     """
-    host, _, port = edge.rpartition(":")
+    host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise click.BadParameter(f"{edge!r} is not host:port")
+        raise click.BadParameter(f"{address!r} is not host:port")
     try:
         return trio.run(execute, host, int(port), request, timeout_s)
     except* RpcError as errors:
@@ -85,19 +85,19 @@
         click.echo(f"{error.code.name}: {error.message}", err=True)
         retry_after_us = error.retry_after_us()
         if retry_after_us is not None:
-            click.echo(f"may be repeated after {retry_after_us / MILLISECOND_US:.0f} ms", err=True)
+            click.echo(f"retry after {retry_after_us / MILLISECOND_US:.0f} ms", err=True)
         sys.exit(1)
     except* (ConnectError, CallUnprocessedError, CallInterruptedError, trio.TooSlowError) as errors:
-        click.echo(f"{edge}: {errors.exceptions[0] or 'no answer in time'}", err=True)
+        click.echo(f"{address}: {errors.exceptions[0] or 'no response within the timeout'}", err=True)
         sys.exit(1)
 
 
 def print_response(response: records_pb2.ExecuteResponse) -> None:
-    """Rows to standard output; who served them to standard error."""
+    """Print the rows to standard output, and which endpoint served them to standard error."""
     if response.result.columns:
         click.echo("\t".join(response.result.columns))
     for row in response.result.rows:
-        click.echo("\t".join(format_value(value) for value in row.values))
+        click.echo("\t".join(format_cell(value) for value in row.values))
     role = "primary" if response.role == records_pb2.ROLE_PRIMARY else "replica"
     attempts = "attempt" if response.attempts == 1 else "attempts"
     click.echo(
--- a/juniperreel/cli/configd.py
+++ b/juniperreel/cli/configd.py
@@ -1,4 +1,4 @@
-"""`juniperreel configd` and `juniperreel config`: an instance of the configuration, and its clients."""
+"""`juniperreel configd` runs an instance of the configuration cluster; `juniperreel config` is its client."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
     "grpc.health.v1.Health",
     "grpc.reflection.v1.ServerReflection",
 )
-# How an instance comes by its directory.
+# How an instance obtains its storage directory.
 CREATE = "create"
 JOIN = "join"
 OPEN = "open"
-TRANSFER_TIMEOUT_S = 2.0
-POLL_S = 0.02
-MEMBER_CHANGE_TRIES = 5
+LEADERSHIP_TRANSFER_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.02
+MEMBER_CHANGE_ATTEMPTS = 5
 
 
 class Instance:
-    """One instance of the configuration in this process; `stopping` ends it gracefully."""
+    """An instance of the configuration cluster; setting `stopping` shuts it down gracefully."""
 
     def __init__(
         self, settings: InstanceSettings, storage: Storage, network: Network, clock: Clock, log: Any
@@ -93,7 +93,7 @@
         self.log.error("handler failed", path=path, exc_info=error)
 
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until stopped; reports the port it listens on. Raises OSError where it cannot listen."""
+        """Serve until stopped and report the listening port. Raises OSError if listening fails."""
         listener = await self.network.listen(*self.settings.listen)
         try:
             async with trio.open_nursery() as nursery:
@@ -110,7 +110,7 @@
             await listener.aclose()
 
     async def _transfer_leadership(self) -> None:
-        """A leader that stops hands leadership to the voter with the longest log."""
+        """Before stopping, transfer leadership, if held, to the voter with the highest match index."""
         self.health.set_serving(False)
         core = self.node.core
         match_index = {
@@ -120,19 +120,20 @@
         }
         if core.is_leader and match_index:
             successor = max(sorted(match_index), key=lambda name: match_index[name])
-            with trio.move_on_after(TRANSFER_TIMEOUT_S):
+            with trio.move_on_after(LEADERSHIP_TRANSFER_TIMEOUT_S):
                 try:
                     await self.node.transfer_leadership(successor)
                 except (NotLeaderError, RequestRejectedError):
                     return
                 while core.is_leader:
-                    await trio.sleep(POLL_S)
+                    await trio.sleep(POLL_INTERVAL_S)
 
 
 def open_storage(settings: InstanceSettings, mode: str) -> Storage:
-    """Create a new cluster's directory, or an empty one to join with, or open the one that is there.
+    """Open an instance's storage directory.
 
-    `mode` is CREATE, JOIN or OPEN. Raises StorageError.
+    `mode` is CREATE for the first instances of a cluster, JOIN for an empty directory of an instance that is
+    to be added to a cluster, or OPEN for an existing directory. Raises StorageError.
     """
     if mode == CREATE:
         return Storage.create(
@@ -144,7 +145,7 @@
 
 
 async def run_instance(settings: InstanceSettings, storage: Storage) -> None:
-    """Serve until SIGTERM or SIGINT, where a second one ends at once."""
+    """Serve until SIGTERM or SIGINT; a second signal terminates immediately."""
     log = make_log(settings.log_format, settings.log_level, instance=settings.name)
     instance = Instance(settings, storage, TcpNetwork(), Clock(), log)
     await run_until_signalled(instance.run, instance.stopping)
@@ -167,43 +168,43 @@
         sys.exit(2)
     try:
         trio.run(run_instance, settings, storage)
-    except* (OSError, StorageError, DiskFullError) as group:
-        click.echo(f"{settings.name}: {group.exceptions[0]}", err=True)
+    except* (OSError, StorageError, DiskFullError) as errors:
+        click.echo(f"{settings.name}: {errors.exceptions[0]}", err=True)
         sys.exit(1)
 
 
-# Clients.
+# Client commands.
 
-Work = Callable[[ConfigurationClient], Awaitable[Any]]
+ClientOperation = Callable[[ConfigurationClient], Awaitable[Any]]
 
 
-def with_instances(addresses: tuple[str, ...], work: Work) -> Any:
-    """Return what `work` makes of a client of the instances; end the command with 1 where none answers."""
+def run_with_client(addresses: tuple[str, ...], operation: ClientOperation) -> Any:
+    """Run `operation` with a connected client and return its result; exits with status 1 if it fails."""
     try:
-        return trio.run(_connect_and_work, addresses, work)
-    except* (RpcError, LeaderUnreachableError) as group:
-        click.echo(str(group.exceptions[0]), err=True)
+        return trio.run(_connect_and_run, addresses, operation)
+    except* (RpcError, LeaderUnreachableError) as errors:
+        click.echo(str(errors.exceptions[0]), err=True)
         sys.exit(1)
 
 
-async def _connect_and_work(addresses: tuple[str, ...], work: Work) -> Any:
+async def _connect_and_run(addresses: tuple[str, ...], operation: ClientOperation) -> Any:
     async with trio.open_nursery() as nursery:
         host_ports = [parse_address(address) for address in addresses]
-        instances = ConfigurationClient(TcpNetwork(), Clock(), random.Random(), host_ports)
-        await nursery.start(instances.run)
-        result = await work(instances)
+        client = ConfigurationClient(TcpNetwork(), Clock(), random.Random(), host_ports)
+        await nursery.start(client.run)
+        result = await operation(client)
         nursery.cancel_scope.cancel()
         return result
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of `host:port` or `name@host:port`."""
-    place, _, port = address.rpartition(":")
-    return place.rpartition("@")[2], int(port)
+    """Parse `host:port` or `name@host:port` into host and port."""
+    name_and_host, _, port = address.rpartition(":")
+    return name_and_host.rpartition("@")[2], int(port)
 
 
-def addresses_of(context: click.Context) -> tuple[str, ...]:
-    """The instances that the command's group was given."""
+def instance_addresses(context: click.Context) -> tuple[str, ...]:
+    """The instance addresses given to the command group."""
     addresses: tuple[str, ...] = context.obj
     return addresses
 
@@ -227,13 +228,13 @@
 
 
 def format_configuration(configuration: model.Configuration) -> str:
-    """A version as indented JSON, its entries in order."""
-    parts = {name: model.sorted_by_key(getattr(configuration, name)) for name in model.SECTIONS}
-    return msgspec.json.format(msgspec.json.encode({"version": configuration.version} | parts)).decode()
+    """Format a version of the configuration as indented JSON with sorted entries."""
+    sections = {name: model.sorted_by_key(getattr(configuration, name)) for name in model.SECTIONS}
+    return msgspec.json.format(msgspec.json.encode({"version": configuration.version} | sections)).decode()
 
 
 def print_configuration(configuration: model.Configuration) -> None:
-    """Print a version as `format_configuration` has it."""
+    """Print a version in the format of `format_configuration`."""
     click.echo(format_configuration(configuration))
 
 
@@ -241,16 +242,16 @@
 @click.pass_context
 def get(context: click.Context) -> None:
     """Print the newest version."""
-    print_configuration(with_instances(addresses_of(context), lambda instances: instances.get()))
+    print_configuration(run_with_client(instance_addresses(context), lambda client: client.get()))
 
 
 def propose(context: click.Context, changes: list[commands.ConfigurationChange], expect: int | None) -> None:
-    """Propose changes, only if `expect` is the version in force where it is given, and print the new one.
+    """Propose changes and print the resulting version; exits with status 1 if they are rejected.
 
-    Ends the command with 1 if they are rejected.
+    With `expect`, the changes apply only if that is the current version (compare and set).
     """
     command = Command(f"cli-{uuid.uuid4().hex}", 1, changes, expect)
-    outcome: Outcome = with_instances(addresses_of(context), lambda instances: instances.propose(command))
+    outcome: Outcome = run_with_client(instance_addresses(context), lambda client: client.propose(command))
     if outcome.rejection:
         click.echo(f"refused: {outcome.rejection}", err=True)
         sys.exit(1)
@@ -264,10 +265,10 @@
 def set_(context: click.Context, changes: Path, expect: int | None) -> None:
     """Apply the CHANGES of a JSON file, all of them or none."""
     try:
-        listed = msgspec.json.decode(changes.read_bytes(), type=list[commands.ConfigurationChange])
+        decoded_changes = msgspec.json.decode(changes.read_bytes(), type=list[commands.ConfigurationChange])
     except msgspec.DecodeError as error:
         raise click.BadParameter(f"{changes}: {error}") from None
-    propose(context, listed, expect)
+    propose(context, decoded_changes, expect)
 
 
 @config.command()
@@ -280,11 +281,11 @@
     except SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    propose(context, first_version(settings), 0)
+    propose(context, initial_changes(settings), 0)
 
 
-def first_version(settings: EdgeSettings) -> list[commands.ConfigurationChange]:
-    """The changes that put an edge's groups, classes and tenants into an empty configuration."""
+def initial_changes(settings: EdgeSettings) -> list[commands.ConfigurationChange]:
+    """The changes that add an edge's groups, classes and tenants to an empty configuration."""
     changes: list[commands.ConfigurationChange] = [
         commands.SetGroup(number, model.GroupInfo(0, None)) for number in range(settings.groups)
     ]
@@ -314,39 +315,39 @@
 def watch(context: click.Context, seconds: float) -> None:
     """Print each version as it is committed."""
 
-    async def _watch(instances: ConfigurationClient) -> None:
+    async def _watch(client: ConfigurationClient) -> None:
         with trio.move_on_after(seconds):
-            await instances.watch("cli", model.EMPTY, print_configuration)
+            await client.watch("cli", model.EMPTY, print_configuration)
 
-    with_instances(addresses_of(context), _watch)
+    run_with_client(instance_addresses(context), _watch)
 
 
 @config.command()
 @click.pass_context
 def status(context: click.Context) -> None:
     """What each instance says of itself."""
-    with_instances(addresses_of(context), print_statuses)
+    run_with_client(instance_addresses(context), print_statuses)
 
 
-async def print_statuses(instances: ConfigurationClient) -> None:
-    """Print a line for each instance, also for those that do not answer."""
-    for address in instances.addresses:
+async def print_statuses(client: ConfigurationClient) -> None:
+    """Print one line per instance, including those that do not respond."""
+    for address in client.addresses:
         try:
-            status = await instances.status(address)
-        except Exception as error:  # one instance's failure must not hide the others' answers
+            status = await client.status(address)
+        except Exception as error:  # a failing instance must not hide the status of the others
             click.echo(f"{address[0]}:{address[1]}: {error or 'no answer'}")
             continue
         click.echo(format_status(status))
 
 
 def format_status(status: pb.StatusResponse) -> str:
-    """One instance's line; a leader's also has how far each follower's log matches its own."""
-    matches = ", ".join(f"{name} {index}" for name, index in sorted(status.matches.items()))
-    tail = f"; holds: {matches}" if matches else ""
+    """Format an instance's status on one line; for a leader, with the match index of each follower."""
+    match_indexes = ", ".join(f"{name} {index}" for name, index in sorted(status.matches.items()))
+    match_suffix = f"; holds: {match_indexes}" if match_indexes else ""
     return (
         f"{status.name}: {status.role}, term {status.term}, leader {status.leader or '-'}, "
         f"log {status.first}-{status.last}, commit {status.commit}, version {status.version}, "
-        f"voters {', '.join(status.voters)}{tail}"
+        f"voters {', '.join(status.voters)}{match_suffix}"
     )
 
 
@@ -357,13 +358,13 @@
 def members(context: click.Context, change: str, name: str) -> None:
     """Change the instances: NAME is name@host:port. A new one is added, then promoted."""
     request = pb.ChangeInstancesRequest(change=change, name=name).SerializeToString()
-    with_instances(addresses_of(context), partial(change_instances, request))
+    run_with_client(instance_addresses(context), partial(change_membership, request))
     click.echo("done")
 
 
-async def change_instances(request: bytes, instances: ConfigurationClient) -> bytes:
-    """Have the leader change the members. Raises RpcError, LeaderUnreachableError."""
-    return await instances.call_leader("ChangeInstances", request, attempts=MEMBER_CHANGE_TRIES)
+async def change_membership(request: bytes, client: ConfigurationClient) -> bytes:
+    """Ask the leader to change the cluster's membership. Raises RpcError or LeaderUnreachableError."""
+    return await client.call_leader("ChangeInstances", request, attempts=MEMBER_CHANGE_ATTEMPTS)
 
 
 __all__ = ["Instance", "config", "configd", "open_storage"]
