--- a/juniperreel/cli/demo.py
+++ b/juniperreel/cli/demo.py
@@ -1,4 +1,4 @@
-"""`juniperreel demo` and `juniperreel verify`."""
+"""`juniperreel demo` runs a script on loopback; `juniperreel verify` checks a recording against the rules."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 import trio
 
 from juniperreel.cli.environment import Environment, EnvironmentOptions
-from juniperreel.cli.report import conclude, read_recording_or_exit
-from juniperreel.cli.scripts import open_recorder, parse_or_exit
+from juniperreel.cli.report import print_report_and_exit, read_recording_or_exit
+from juniperreel.cli.scripts import open_recorder, parse_script_or_exit
 from juniperreel.fakes.script import Script
 from juniperreel.net.clock import US
 from juniperreel.verification.records import Fault, Recorder
 
-LIVE_INTERVAL_S = 1
+REPORT_INTERVAL_S = 1
 MILLISECOND_US = 1_000
 DEFAULT_SCRIPT = "days/bad.day"
 
 
 def read_script(script: Path | None) -> str:
-    """The script's text, or that of the bad day that comes with the program."""
+    """Return the text of the script, or of the packaged default script."""
     if script is not None:
         return script.read_text(encoding="utf-8")
     return resources.files("juniperreel.fakes").joinpath(DEFAULT_SCRIPT).read_text(encoding="utf-8")
 
 
 class LiveReport:
-    """Prints one line a second on what clients saw since the last one, while an environment plays."""
+    """Prints the outcomes that clients saw in the last second, once a second while an environment runs."""
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
@@ -38,28 +38,28 @@
         self._durations_us: list[int] = []
 
     async def run(self) -> None:
-        """Print until cancelled, from the time on at which clients come."""
+        """Print until cancelled, starting once the environment has clients."""
         start = trio.current_time()
         while True:
-            await trio.sleep(LIVE_INTERVAL_S)
+            await trio.sleep(REPORT_INTERVAL_S)
             population = self._environment.population
             if population is None:
                 start = trio.current_time()
                 continue
             population.on_response(self._count)
-            click.echo(f"{trio.current_time() - start:5.0f} s  {self._line()}")
+            click.echo(f"{trio.current_time() - start:5.0f} s  {self._format_line()}")
             self._outcomes.clear()
             self._durations_us.clear()
 
-    def _count(self, _cls: str, outcome: str, took_us: int) -> None:
+    def _count(self, _cls: str, outcome: str, duration_us: int) -> None:
         self._outcomes[outcome] += 1
-        self._durations_us.append(took_us)
+        self._durations_us.append(duration_us)
 
-    def _line(self) -> str:
+    def _format_line(self) -> str:
         outcomes = ", ".join(f"{name} {self._outcomes[name]}" for name in ("served", "refused", "failed"))
         mean_ms = self._mean_duration_ms()
-        alive = sum(member.alive for member in self._environment.fleet.endpoints.values())
-        return f"{outcomes}; mean {mean_ms:.0f} ms; {alive} members up{self._last_fault()}"
+        alive_count = sum(endpoint.alive for endpoint in self._environment.fleet.endpoints.values())
+        return f"{outcomes}; mean {mean_ms:.0f} ms; {alive_count} members up{self._last_fault()}"
 
     def _mean_duration_ms(self) -> float:
         if not self._durations_us:
@@ -67,7 +67,7 @@
         return sum(self._durations_us) / len(self._durations_us) / MILLISECOND_US
 
     def _last_fault(self) -> str:
-        records = self._environment.record.records
+        records = self._environment.recorder.records
         faults = [record for record in records if isinstance(record, Fault) and record.active]
         if not faults:
             return ""
@@ -75,12 +75,12 @@
         return f"; last fault: {fault}"
 
 
-async def play(
-    day: Script, folder: Path, recorder: Recorder, options: EnvironmentOptions, quiet: bool
+async def run_demo(
+    script: Script, folder: Path, recorder: Recorder, options: EnvironmentOptions, quiet: bool
 ) -> None:
-    """Play a day, with live lines unless `quiet`."""
+    """Run a script, with a live report unless `quiet`."""
     async with trio.open_nursery() as nursery:
-        environment = Environment(day, folder, recorder, options)
+        environment = Environment(script, folder, recorder, options)
         if not quiet:
             nursery.start_soon(LiveReport(environment).run)
         await environment.run()
@@ -117,29 +117,29 @@
     quiet: bool,
 ) -> None:
     """Play a scripted day on loopback, then judge it from its traffic."""
-    day = parse_or_exit(read_script(script))
+    parsed_script = parse_script_or_exit(read_script(script))
     if seed is not None:
-        day.settings["seed"] = seed
+        parsed_script.settings["seed"] = seed
     if last is not None:
-        day.settings["last"] = int(last * US)
-    click.echo(headline(day, careless))
+        parsed_script.settings["last"] = int(last * US)
+    click.echo(headline(parsed_script, careless))
     options = EnvironmentOptions(careless, raft, code)
     with tempfile.TemporaryDirectory() as temporary:
         folder = logs or Path(temporary)
         folder.mkdir(parents=True, exist_ok=True)
         with open_recorder(record) as recorder:
-            trio.run(play, day, folder.resolve(), recorder, options, quiet)
-    conclude(recorder.records)
+            trio.run(run_demo, parsed_script, folder.resolve(), recorder, options, quiet)
+    print_report_and_exit(recorder.records)
 
 
-def headline(day: Script, careless: bool) -> str:
-    """The first line of a demo: what is played."""
-    faults = sorted({step.fault for step in day.steps if step.at_us < day["last"]})
+def headline(script: Script, careless: bool) -> str:
+    """The first line of a demo's output: its size, load and faults."""
+    faults = sorted({step.fault for step in script.steps if step.at_us < script["last"]})
     edges = "careless edges" if careless else "edges"
     return (
-        f"{day['groups']} groups of {day['members']}, {day['edges']} {edges}, "
-        f"{day['rate']} requests a second "
-        f"for {day['last'] / US:.0f} s; faults: {', '.join(faults)}"
+        f"{script['groups']} groups of {script['members']}, {script['edges']} {edges}, "
+        f"{script['rate']} requests a second "
+        f"for {script['last'] / US:.0f} s; faults: {', '.join(faults)}"
     )
 
 
@@ -147,4 +147,4 @@
 @click.argument("recording", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 def verify(recording: Path) -> None:
     """Judge the five rules from a RECORDING."""
-    conclude(read_recording_or_exit(recording))
+    print_report_and_exit(read_recording_or_exit(recording))
--- a/juniperreel/cli/demo_settings.py
+++ b/juniperreel/cli/demo_settings.py
@@ -1,4 +1,4 @@
-"""The load of a demo day, and the settings file of each of its edges."""
+"""The traffic of a demo, and the settings file of each of its edges."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from juniperreel.verification import records as rec
 
 MILLISECOND_US = 1_000
-DRAIN_GRACE_US = 2 * US  # as in the settings below
+DRAIN_GRACE_US = 2 * US  # equals `drain-grace` in EDGE_TEMPLATE
 MAX_ATTEMPTS = 6
-CAPACITY_SHARES = {"fastlap": 0.6, "splitwest": 0.25, "runhouse": 0.15}  # of tenants
+CAPACITY_SHARES = {"fastlap": 0.6, "splitwest": 0.25, "runhouse": 0.15}  # by tenant
 MYSQL_USER = "board"
 MYSQL_TENANT = "fastlap"
 
-MIX = (
+TRAFFIC_CLASSES = (
     TrafficClass(
         rec.RequestClass(
             0, "board-read", "repeatable", 0, False, False, 300 * MILLISECOND_US, 500 * MILLISECOND_US, 3, 0.2
@@ -104,61 +104,68 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeParameters:
-    """What differs from edge to edge: its name and number, its ports (0: any free one) and member sources.
+    """The settings that differ between edges.
 
-    `sources` are lines of the settings' section on hosts.
+    A port of 0 selects a free one; `endpoint_sources` are the lines of the `[hosts]` section that say where
+    the edge learns of endpoints.
     """
 
     name: str
     number: int
     port: int
     mysql_port: int
-    sources: str
+    endpoint_sources: str
 
 
-def mix_of(day: Script) -> list[TrafficClass]:
-    """The day's classes. Members that speak MySQL remember no keys: there, no write is idempotent."""
-    if not day["mysql-members"]:
-        return list(MIX)
-    return [_without_keys(mix) for mix in MIX]
+def traffic_classes(script: Script) -> list[TrafficClass]:
+    """Return the script's traffic classes.
+
+    MySQL endpoints do not store idempotency keys, so with them no write is idempotent.
+    """
+    if not script["mysql-members"]:
+        return list(TRAFFIC_CLASSES)
+    return [_without_idempotency_keys(traffic_class) for traffic_class in TRAFFIC_CLASSES]
 
 
-def _without_keys(mix: TrafficClass) -> TrafficClass:
-    if mix.request_class.idempotency != "keyed":
-        return mix
+def _without_idempotency_keys(traffic_class: TrafficClass) -> TrafficClass:
+    if traffic_class.request_class.idempotency != "keyed":
+        return traffic_class
     return replace(
-        mix, request_class=structs.replace(mix.request_class, idempotency="once", deduplication_window_us=0)
+        traffic_class,
+        request_class=structs.replace(
+            traffic_class.request_class, idempotency="once", deduplication_window_us=0
+        ),
     )
 
 
-def edge_settings(day: Script, edge: EdgeParameters) -> str:
-    """The text of an edge's settings file."""
+def edge_settings(script: Script, edge: EdgeParameters) -> str:
+    """Return the text of an edge's settings file."""
     return EDGE_TEMPLATE.format(
         name=edge.name,
         port=edge.port,
         mysql=edge.mysql_port,
-        edges=day["edges"],
-        groups=day["groups"],
-        seed=day["seed"] * 100 + edge.number,
-        hosts=edge.sources,
-        classes="\n".join(_class_section(mix) for mix in mix_of(day)),
-        tenants="\n".join(f"[tenant {name}]\nshare {part:.0%}\n" for name, part in CAPACITY_SHARES.items()),
+        edges=script["edges"],
+        groups=script["groups"],
+        seed=script["seed"] * 100 + edge.number,
+        hosts=edge.endpoint_sources,
+        classes="\n".join(_class_section(traffic_class) for traffic_class in traffic_classes(script)),
+        tenants="\n".join(f"[tenant {name}]\nshare {share:.0%}\n" for name, share in CAPACITY_SHARES.items()),
         attempts=MAX_ATTEMPTS,
-        cold_ms=day["cold-span"] // MILLISECOND_US,
-        members=MEMBERS_SECTION if day["mysql-members"] else "",
+        cold_ms=script["cold-span"] // MILLISECOND_US,
+        members=MEMBERS_SECTION if script["mysql-members"] else "",
     )
 
 
-def _class_section(mix: TrafficClass) -> str:
-    cls = mix.request_class
+def _class_section(traffic_class: TrafficClass) -> str:
+    cls = traffic_class.request_class
     effect = (
-        f"keyed group {_milliseconds(cls.deduplication_window_us)}"
+        f"keyed group {_format_ms(cls.deduplication_window_us)}"
         if cls.idempotency == "keyed"
         else cls.idempotency
     )
     return (
         f"[class {cls.name}]\neffect {effect}\nconsistency {_consistency(cls)}\n"
-        f"aim {_milliseconds(cls.latency_objective_us)}\ndeadline {_milliseconds(mix.deadline_us)}\n"
+        f"aim {_format_ms(cls.latency_objective_us)}\ndeadline {_format_ms(traffic_class.deadline_us)}\n"
         f"worth {cls.priority_weight:g}\nlate-worth {cls.late_priority_weight:.0%}\n"
     )
 
@@ -168,8 +175,8 @@
         return "write"
     if cls.session:
         return "session"
-    return f"bounded {_milliseconds(cls.max_staleness_us)}"
+    return f"bounded {_format_ms(cls.max_staleness_us)}"
 
 
-def _milliseconds(duration_us: int) -> str:
+def _format_ms(duration_us: int) -> str:
     return f"{duration_us // MILLISECOND_US}ms"
--- a/juniperreel/cli/edge.py
+++ b/juniperreel/cli/edge.py
@@ -1,4 +1,4 @@
-"""Wires an edge together and runs it until it is told to stop."""
+"""Assembles a single-process edge and runs it until it is stopped."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class Edge:
-    """One edge in this process: `run` serves until `stop` is called or it is cancelled.
+    """An edge in this process: `run` serves until `stop` is called or it is cancelled.
 
-    `serving` tells whether it takes requests; `ended` is set once `run` has ended; `mysql_port` is 0 until
-    the MySQL frontend listens. The event that it logs when it serves is `serving_event`.
+    `serving` is true while it accepts requests; `ended` is set once `run` has returned; `mysql_port` is 0
+    until the MySQL frontend listens. `serving_event` is the log event that reports readiness.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         self._serving_event = serving_event
 
     async def run(self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until stopped; reports the port it listens on.
+        """Serve until stopped and report the listening port.
 
-        Raises OSError where it cannot listen, ValueError for a saved host list that cannot be read.
+        Raises OSError if listening fails, and ValueError if the cached endpoint list is unreadable.
         """
         listener = await self.network.listen(*self.settings.listen)
         self.stall_monitor.install()
@@ -111,17 +111,17 @@
             self.traces.close()
 
     def stop(self) -> None:
-        """Begin the graceful shutdown: no new connections or streams, what is in flight answered, the end."""
+        """Begin the graceful shutdown: refuse new connections and streams, finish open requests, exit."""
         self.stopping.set()
 
     @property
     def connections(self) -> int:
-        """Clients' connections that are open, over all protocols."""
+        """The number of open client connections over all protocols."""
         mysql_connections = self.mysql.connections if self.mysql is not None else 0
         return self.server.connections + mysql_connections
 
     async def _serve_metrics(self, nursery: trio.Nursery) -> str | None:
-        """Start the page of metrics; returns its address, None where the settings have none."""
+        """Serve the metrics page and return its address, or None if it is not configured."""
         if self.settings.metrics is None:
             return None
         host, _ = self.settings.metrics
@@ -131,7 +131,7 @@
         return f"{host}:{port}"
 
     async def _serve_mysql(self, nursery: trio.Nursery) -> str | None:
-        """Start the MySQL frontend; returns its address, None where the settings have none."""
+        """Start the MySQL frontend and return its address, or None if it is not configured."""
         if self.mysql is None or self.settings.mysql_frontend is None:
             return None
         host, _ = self.settings.mysql_frontend.listen
@@ -143,35 +143,36 @@
         self.serving = False
         self.health.set_serving(False)
         self.log.info("graceful shutdown started")
-        with trio.move_on_after(self.settings.shutdown_timeout_us / US) as limit:
-            # Danger: a request that was read, or is on its way, before its connection learned of the shutdown
-            # must still be served. The driver may reject requests only when no connection can bring one.
+        with trio.move_on_after(self.settings.shutdown_timeout_us / US) as timeout_scope:
+            # Requests that were read or in transit before their connection learned of the shutdown must still
+            # be served, so the driver starts to reject requests only once no connection can deliver any.
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.server.drain)
                 if self.mysql is not None:
                     nursery.start_soon(self.mysql.drain)
             await self.driver.drain()
             if self.mysql is not None:
-                await self.mysql.drain()  # commands that came since are rejected, which is an answer, too
-        self.log.info("shutdown complete", in_time=not limit.cancelled_caught)
+                # Commands received since the first drain are rejected instead of being left unanswered.
+                await self.mysql.drain()
+        self.log.info("shutdown complete", in_time=not timeout_scope.cancelled_caught)
 
     def _on_handler_failed(self, path: str, error: Exception) -> None:
         self.log.error("handler failed", path=path, exc_info=error)
 
 
 def freeze_garbage_collection() -> None:
-    """Exempt all that exists from garbage collection.
+    """Exempt all existing objects from garbage collection.
 
-    Danger: what was imported and built until the edge serves lives as long as the program; searching it again
-    and again for garbage would cost requests tens of milliseconds each time.
+    Modules and objects created before the edge serves live as long as the process; each full collection that
+    traverses them delays requests by tens of milliseconds.
     """
     gc.collect()
     gc.freeze()
 
 
 async def run_edge(settings: EdgeSettings, network: Network) -> int:
-    """Serve until SIGTERM or SIGINT, where a second one ends at once; returns the exit status."""
+    """Serve until SIGTERM or SIGINT and return the exit status; a second signal terminates immediately."""
     edge = Edge(settings, network, Clock())
-    # Danger: SIGHUP, which has an edge of several workers read its file again, would end one of one process.
+    # SIGHUP reloads the settings of a multi-worker edge; its default action would terminate this process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     return await run_until_signalled(edge.run, edge.stopping)
--- a/juniperreel/cli/edge_options.py
+++ b/juniperreel/cli/edge_options.py
@@ -1,4 +1,4 @@
-"""Translates an edge's settings into the options of the parts that it is wired from."""
+"""Translates an edge's settings into the options of its components."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from juniperreel.rpc.limits import Limits
 from juniperreel.settings import EdgeSettings
 
-OPEN_BURST_S = 0.25  # so many seconds' worth of new connections may be opened at once
+OPEN_BURST_WINDOW_S = 0.25  # the burst of new pool connections is what `open-rate` allows in this time
 
 
 def driver_options(settings: EdgeSettings) -> DriverOptions:
-    """Options of the proxy itself; draws a seed where the settings have none."""
+    """Return the request driver's options, with a random seed if the settings have none."""
     return DriverOptions(
         name=settings.name,
         router=settings.router,
@@ -35,41 +35,45 @@
         health_check_timeout_us=settings.health_check_timeout_us,
         discovery_timeout_us=settings.list_timeout_us,
         configuration_addresses=settings.configuration_instances,
-        mysql=mysql_members(settings),
+        mysql=mysql_endpoint_options(settings),
         limits=Limits(message_bytes=settings.max_message_bytes, metadata_bytes=settings.max_metadata_bytes),
     )
 
 
-def mysql_members(settings: EdgeSettings) -> MysqlEndpointOptions | None:
-    """Options of the pools to members that speak MySQL; None where members speak gRPC.
+def mysql_endpoint_options(settings: EdgeSettings) -> MysqlEndpointOptions | None:
+    """Return the options of the MySQL connection pools, or None if the endpoints speak gRPC.
 
-    Raises OSError for a certificate file that cannot be read.
+    Raises OSError if the certificate authority file is unreadable.
     """
-    members = settings.mysql_endpoints
-    if members is None:
+    endpoint_settings = settings.mysql_endpoints
+    if endpoint_settings is None:
         return None
-    authorities = members.certificate_authorities
+    authorities = endpoint_settings.certificate_authorities
     tls = None if authorities is None else ssl.create_default_context(cafile=str(authorities))
-    login = BackendConfig(
-        members.user, members.password, members.database, tls, max_result_bytes=settings.max_message_bytes
+    backend = BackendConfig(
+        endpoint_settings.user,
+        endpoint_settings.password,
+        endpoint_settings.database,
+        tls,
+        max_result_bytes=settings.max_message_bytes,
     )
-    sizes = PoolConfig(
-        max_connections=members.max_connections,
-        min_connections=members.min_connections,
-        acquire_timeout_us=members.acquire_timeout_us,
-        idle_timeout_us=members.idle_timeout_us,
-        max_lifetime_us=members.max_lifetime_us,
-        open_rate=members.open_rate,
-        open_burst=max(members.open_rate * OPEN_BURST_S, 1.0),
+    pool = PoolConfig(
+        max_connections=endpoint_settings.max_connections,
+        min_connections=endpoint_settings.min_connections,
+        acquire_timeout_us=endpoint_settings.acquire_timeout_us,
+        idle_timeout_us=endpoint_settings.idle_timeout_us,
+        max_lifetime_us=endpoint_settings.max_lifetime_us,
+        open_rate=endpoint_settings.open_rate,
+        open_burst=max(endpoint_settings.open_rate * OPEN_BURST_WINDOW_S, 1.0),
         tenant_shares=tuple(tenant.capacity_share for tenant in settings.router.tenants),
     )
-    return MysqlEndpointOptions(login, members.max_transaction_us, sizes)
+    return MysqlEndpointOptions(backend, endpoint_settings.max_transaction_us, pool)
 
 
 def mysql_frontend_options(settings: EdgeSettings) -> MysqlOptions:
-    """Options of the MySQL frontend, which the settings must have.
+    """Return the options of the MySQL frontend, which must be configured.
 
-    Raises OSError for certificate files that cannot be read.
+    Raises OSError if the certificate files are unreadable.
     """
     frontend = settings.mysql_frontend
     assert frontend is not None
@@ -79,7 +83,7 @@
         tls.load_cert_chain(*frontend.tls)
     return MysqlOptions(
         users={name: Credential.from_password(password) for name, password in frontend.users},
-        classifier=mysql_classes(settings),
+        classifier=request_classifier(settings),
         max_connections=frontend.max_connections,
         max_packet=settings.max_message_bytes,
         login_plugin=frontend.auth_plugin,
@@ -88,8 +92,8 @@
     )
 
 
-def mysql_classes(settings: EdgeSettings) -> RequestClassifier:
-    """How the MySQL frontend, which the settings must have, finds a statement's class and tenant."""
+def request_classifier(settings: EdgeSettings) -> RequestClassifier:
+    """Return the classifier of statements by class and tenant; the MySQL frontend must be configured."""
     frontend = settings.mysql_frontend
     assert frontend is not None
     classes = [request_class.name for request_class in settings.router.classes]
--- a/juniperreel/cli/environment.py
+++ b/juniperreel/cli/environment.py
@@ -1,4 +1,4 @@
-"""A demo day: fakes and clients in this process, edges as processes of their own, and a recording."""
+"""The environment of a demo: fakes and clients in this process, one process per edge, and a recording."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     MYSQL_USER,
     EdgeParameters,
     edge_settings,
-    mix_of,
+    traffic_classes,
 )
-from juniperreel.cli.promotion_source import PromotionSource
+from juniperreel.cli.promotion_source import ConfigurationPublisher
 from juniperreel.fakes.client_population import ClientPopulation
 from juniperreel.fakes.client_session import EdgeAddress, MysqlTraffic
 from juniperreel.fakes.fleet import Fleet
@@ -36,29 +36,29 @@
 from juniperreel.verification import records as rec
 
 START_TIMEOUT_S = 20.0
-STOP_TIMEOUT_S = 15.0  # of all edges and instances together
+STOP_TIMEOUT_S = 15.0  # for all edges and instances together
 EDGE_STOP_TIMEOUT_S = 3.0
-SETTLE_S = 1.0  # for edges to learn of all members before clients come
+DISCOVERY_SETTLE_S = 1.0  # time for edges to discover all endpoints before clients start
 PASSWORD = b"of the board's app servers"
 
 
 @dataclass(frozen=True, slots=True)
 class EnvironmentOptions:
-    """How a day is played.
+    """How a script is run.
 
-    `careless`: by edges that pick members at random and retry blindly, in place of the program's own; `raft`:
-    edges learn of members from a configuration cluster in place of the late host list; `code`: another tree
-    whose edges are played.
+    `naive_proxy`: against naive proxies, which select endpoints at random and retry unconditionally, in place
+    of the project's edges; `use_raft`: edges learn of endpoints from a configuration cluster in place of the
+    delayed endpoint list; `source_tree`: run the edges of another source tree.
     """
 
-    careless: bool = False
-    raft: bool = False
-    code: Path | None = None
+    naive_proxy: bool = False
+    use_raft: bool = False
+    source_tree: Path | None = None
 
 
 @dataclass(slots=True)
 class EdgeProcess:
-    """An edge and, once it has been started, its process. Ports are 0 until it listens."""
+    """An edge and, once started, its process. Ports are 0 until it listens."""
 
     name: str
     number: int
@@ -68,40 +68,40 @@
 
     @property
     def running_process(self) -> trio.Process | None:
-        """Its process, None if it does not run."""
+        """The edge's process, or None if it is not running."""
         if self.process is None or self.process.poll() is not None:
             return None
         return self.process
 
 
 class Environment:
-    """Everything around the edges of one day; `run` plays the day and leaves its records in the recorder.
+    """The edges of one run and everything around them; `run` runs the script and records its events.
 
     `population` is None until the edges are ready for clients.
     """
 
     def __init__(
-        self, day: Script, folder: Path, recorder: rec.Recorder, options: EnvironmentOptions
+        self, script: Script, folder: Path, recorder: rec.Recorder, options: EnvironmentOptions
     ) -> None:
-        """`folder` keeps keys, settings and logs."""
-        self.record = recorder
+        """`folder` receives keys, settings and logs."""
+        self.recorder = recorder
         self.population: ClientPopulation | None = None
-        self._day = day
+        self._script = script
         self._folder = folder
         self._options = options
         self._clock = Clock()
         self._network = TcpNetwork()
-        self.fleet = Fleet(day, self._network, self._clock, recorder)
-        self._edges = [EdgeProcess(f"edge{number}", number) for number in range(day["edges"])]
-        self._cluster = ConfigurationCluster(folder, self._network) if options.raft else None
+        self.fleet = Fleet(script, self._network, self._clock, recorder)
+        self._edges = [EdgeProcess(f"edge{number}", number) for number in range(script["edges"])]
+        self._cluster = ConfigurationCluster(folder, self._network) if options.use_raft else None
         self._nursery: trio.Nursery | None = None
         (folder / "app.password").write_bytes(PASSWORD)
         (folder / "member.password").write_bytes(MEMBER_PASSWORD)
         (folder / "token.key").write_bytes(secrets.token_hex(32).encode())
 
     async def run(self) -> None:
-        """Play the day. Raises trio.TooSlowError where an edge or the cluster does not start."""
-        self._record_rules()
+        """Run the script. Raises trio.TooSlowError if an edge or the cluster does not start in time."""
+        self._record_rule_parameters()
         async with trio.open_nursery() as self._nursery:
             try:
                 await self._nursery.start(self.fleet.run)
@@ -109,12 +109,12 @@
                     await self._start_cluster(self._cluster, self._nursery)
                 for edge in self._edges:
                     await self._start_edge(edge)
-                await trio.sleep(SETTLE_S)
+                await trio.sleep(DISCOVERY_SETTLE_S)
                 self.population = self._make_population()
-                async with trio.open_nursery() as faults:
-                    faults.start_soon(self.fleet.play, self._play_edge_fault)
-                    await self.population.run(float(self._day["rate"]), self._day["last"])
-                    faults.cancel_scope.cancel()
+                async with trio.open_nursery() as fault_nursery:
+                    fault_nursery.start_soon(self.fleet.play, self._inject_edge_fault)
+                    await self.population.run(float(self._script["rate"]), self._script["last"])
+                    fault_nursery.cancel_scope.cancel()
             finally:
                 with trio.CancelScope(shield=True, deadline=trio.current_time() + STOP_TIMEOUT_S):
                     await self._stop_edges()
@@ -122,77 +122,86 @@
                         await self._cluster.stop()
             self._nursery.cancel_scope.cancel()
 
-    def _record_rules(self) -> None:
-        """Record the classes and limits that the day is judged by."""
+    def _record_rule_parameters(self) -> None:
+        """Record the request classes and limits that the rules are checked against."""
         now_us = self._clock.now_us()
-        for mix in mix_of(self._day):
-            self.record(mix.request_class)
-        self.record(self.fleet.settings.limits(now_us, DRAIN_GRACE_US, MAX_ATTEMPTS))
+        for traffic_class in traffic_classes(self._script):
+            self.recorder(traffic_class.request_class)
+        self.recorder(self.fleet.settings.limits(now_us, DRAIN_GRACE_US, MAX_ATTEMPTS))
 
     def _make_population(self) -> ClientPopulation:
         return ClientPopulation(
             self._network,
             self._clock,
-            self.record,
-            random.Random(self._day["seed"]),
-            mix_of(self._day),
+            self.recorder,
+            random.Random(self._script["seed"]),
+            traffic_classes(self._script),
             CAPACITY_SHARES,
-            self._day["groups"],
-            self._day["sessions"],
-            self._day["retries"],
+            self._script["groups"],
+            self._script["sessions"],
+            self._script["retries"],
             [EdgeAddress(edge.name, edge.port) for edge in self._edges],
-            self._mysql_clients(),
+            self._mysql_traffic(),
         )
 
-    def _mysql_clients(self) -> MysqlTraffic | None:
-        """What clients over MySQL do; None where the day has none or the edges do not offer it."""
+    def _mysql_traffic(self) -> MysqlTraffic | None:
+        """Return the MySQL clients' traffic, or None if the script has none or an edge has no MySQL port."""
         ports = [edge.mysql_port for edge in self._edges]
-        if not self._day["mysql"] or not all(ports):
+        if not self._script["mysql"] or not all(ports):
             return None
-        part = self._day["mysql"] / 100
-        clients = MysqlTraffic(ports, part, MYSQL_USER, PASSWORD, MYSQL_TENANT, "own-read", "run-write")
-        return replace(clients, transaction_part=self._day["transactions"] / 100)
+        mysql_share = self._script["mysql"] / 100
+        traffic = MysqlTraffic(
+            ports, mysql_share, MYSQL_USER, PASSWORD, MYSQL_TENANT, "own-read", "run-write"
+        )
+        return replace(traffic, transaction_part=self._script["transactions"] / 100)
 
     async def _start_cluster(self, cluster: ConfigurationCluster, nursery: trio.Nursery) -> None:
         await cluster.start(secrets.token_hex(32).encode())
-        names = [edge.name for edge in self._edges]
-        source = PromotionSource(
-            self.fleet, self._network, self._clock, cluster.addresses(), self.record, lambda: names
+        edge_names = [edge.name for edge in self._edges]
+        publisher = ConfigurationPublisher(
+            self.fleet, self._network, self._clock, cluster.addresses(), self.recorder, lambda: edge_names
         )
-        nursery.start_soon(source.run)
+        nursery.start_soon(publisher.run)
         with trio.fail_after(START_TIMEOUT_S):
-            await source.ready.wait()
+            await publisher.ready.wait()
 
     async def _start_edge(self, edge: EdgeProcess) -> None:
-        """Start the edge's process and wait until it serves. Raises trio.TooSlowError."""
+        """Start an edge's process and wait until it serves. Raises trio.TooSlowError."""
         assert self._nursery is not None
         edge.process = await trio.lowlevel.open_process(
-            self._edge_command(edge), stderr=subprocess.PIPE, cwd=self._options.code
+            self._edge_command(edge), stderr=subprocess.PIPE, cwd=self._options.source_tree
         )
         serving = trio.Event()
-        self._nursery.start_soon(self._follow_log, edge, edge.process, serving)
+        self._nursery.start_soon(self._read_log, edge, edge.process, serving)
         with trio.fail_after(START_TIMEOUT_S):
             await serving.wait()
-        self.record(rec.EdgeUp(self._clock.now_us(), edge.name))
+        self.recorder(rec.EdgeUp(self._clock.now_us(), edge.name))
 
     def _edge_command(self, edge: EdgeProcess) -> list[str]:
         parameters = EdgeParameters(
-            edge.name, edge.number, edge.port, edge.mysql_port, self._member_sources()
+            edge.name, edge.number, edge.port, edge.mysql_port, self._endpoint_sources()
         )
         settings = self._folder / f"{edge.name}.conf"
-        settings.write_text(edge_settings(self._day, parameters), encoding="utf-8")
-        if self._options.careless:
-            hosts = str(self.fleet.endpoint_list.port)
-            return [sys.executable, "-m", "juniperreel.fakes.naive_proxy", edge.name, str(edge.port), hosts]
+        settings.write_text(edge_settings(self._script, parameters), encoding="utf-8")
+        if self._options.naive_proxy:
+            list_port = str(self.fleet.endpoint_list.port)
+            return [
+                sys.executable,
+                "-m",
+                "juniperreel.fakes.naive_proxy",
+                edge.name,
+                str(edge.port),
+                list_port,
+            ]
         return [sys.executable, "-m", "juniperreel.cli.main", "edge", str(settings)]
 
-    def _member_sources(self) -> str:
+    def _endpoint_sources(self) -> str:
         if self._cluster is None:
             return f"source 127.0.0.1:{self.fleet.endpoint_list.port}"
         return "\n".join(f"instance 127.0.0.1:{port}" for port in self._cluster.ports)
 
-    async def _follow_log(self, edge: EdgeProcess, process: trio.Process, serving: trio.Event) -> None:
-        """Copy the edge's log to its file, and learn from it where the edge listens."""
+    async def _read_log(self, edge: EdgeProcess, process: trio.Process, serving: trio.Event) -> None:
+        """Copy an edge's log to its file, and take the edge's ports from the `serving` event."""
         assert process.stderr is not None
         incomplete = b""
         with (self._folder / f"{edge.name}.log").open("ab") as log:
@@ -203,12 +212,12 @@
                 for line in lines:
                     if b'"serving"' in line and not serving.is_set():
                         event = json.loads(line)
-                        edge.port = port_of(event["listen"])
-                        edge.mysql_port = port_of(event.get("mysql") or ":0")
+                        edge.port = parse_port(event["listen"])
+                        edge.mysql_port = parse_port(event.get("mysql") or ":0")
                         serving.set()
 
-    async def _play_edge_fault(self, step: Step) -> None:
-        """Play a fault of an edge or of an instance of the configuration, to its end."""
+    async def _inject_edge_fault(self, step: Step) -> None:
+        """Inject a fault of an edge or a configuration instance and wait until it ends."""
         number = int(step.target.partition("/")[2])
         if step.fault == "instance-kill":
             if self._cluster is not None:
@@ -224,7 +233,7 @@
             await self._stall_edge(edge, process, step.for_us)
 
     async def _kill_edge(self, edge: EdgeProcess, process: trio.Process, restart_after_us: float) -> None:
-        self.record(rec.EdgeDown(self._clock.now_us(), edge.name))
+        self.recorder(rec.EdgeDown(self._clock.now_us(), edge.name))
         process.kill()
         await process.wait()
         if restart_after_us:
@@ -236,13 +245,13 @@
         os.kill(process.pid, signal.SIGSTOP)
         await trio.sleep(duration_us / US)
         os.kill(process.pid, signal.SIGCONT)
-        self.record(rec.EdgeStalled(start_us, edge.name, self._clock.now_us()))
+        self.recorder(rec.EdgeStalled(start_us, edge.name, self._clock.now_us()))
 
     async def _stop_edges(self) -> None:
         for edge in self._edges:
             process = edge.running_process
             if process is not None:
-                self.record(rec.EdgeDown(self._clock.now_us(), edge.name))
+                self.recorder(rec.EdgeDown(self._clock.now_us(), edge.name))
                 os.kill(process.pid, signal.SIGCONT)
                 process.terminate()
         for edge in self._edges:
@@ -253,6 +262,6 @@
                     edge.process.kill()
 
 
-def port_of(address: str) -> int:
-    """The port of an address `host:port`."""
+def parse_port(address: str) -> int:
+    """Return the port of a `host:port` address."""
     return int(address.rpartition(":")[2])
--- a/juniperreel/cli/load.py
+++ b/juniperreel/cli/load.py
@@ -1,4 +1,4 @@
-"""`juniperreel load`: run a plan, report on a result, set results side by side."""
+"""`juniperreel load`: runs a load plan, reports on a result, and compares results."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 if TYPE_CHECKING:
     from juniperreel.load.summary import Result
 
-FILE_TO_READ = click.Path(path_type=Path, exists=True, dir_okay=False)
-FILE = click.Path(path_type=Path, dir_okay=False)
+INPUT_FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
+OUTPUT_FILE = click.Path(path_type=Path, dir_okay=False)
 MAX_REASONS = 8
-RULE_BROKEN_STATUS = 1
-BAD_INPUT_STATUS = 2
+RULE_VIOLATED_STATUS = 1
+INVALID_INPUT_STATUS = 2
 
 
 class DefaultRunGroup(click.Group):
-    """`load FILE` runs a plan; `load report` and `load compare` are named as they are."""
+    """Makes `load FILE` short for `load run FILE`, besides `load report` and `load compare`."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Take a first argument that is neither a command nor an option for a plan to run."""
+        """Treat a first argument that is neither a command nor an option as the plan to run."""
         if args and args[0] not in self.commands and not args[0].startswith("-"):
             args = ["run", *args]
         return super().resolve_command(ctx, args)
@@ -39,10 +39,10 @@
 
 
 @load.command("run")
-@click.argument("file", type=FILE_TO_READ)
+@click.argument("file", type=INPUT_FILE)
 @click.option("--target", "targets", multiple=True, help="HOST:PORT in place of the plan's.")
-@click.option("--out", type=FILE, help="Keep the result here, as JSON lines.")
-@click.option("--plot", type=FILE, help="Draw the result into this PNG.")
+@click.option("--out", type=OUTPUT_FILE, help="Keep the result here, as JSON lines.")
+@click.option("--plot", type=OUTPUT_FILE, help="Draw the result into this PNG.")
 @click.option("--watch", multiple=True, metavar="NAME=PID", help="Tell the CPU of this process as well.")
 @click.option("--quiet", is_flag=True, help="No live lines.")
 def run_plan(
@@ -66,24 +66,24 @@
         watched_processes = parse_watched_processes(watch)
     except SettingsError as error:
         click.echo(str(error), err=True)
-        sys.exit(BAD_INPUT_STATUS)
+        sys.exit(INVALID_INPUT_STATUS)
     with tempfile.TemporaryDirectory() as folder:
-        result = out or Path(folder) / "result.jsonl"
-        report_line = _ignore_line if quiet else click.echo
+        result_path = out or Path(folder) / "result.jsonl"
+        report_line = _discard_line if quiet else click.echo
         try:
-            run(plan, text, result, report_line, watched_processes)
+            run(plan, text, result_path, report_line, watched_processes)
         except RuntimeError as error:
             click.echo(str(error), err=True)
             sys.exit(1)
-        sys.exit(report_result(result, plot))
+        sys.exit(report_result(result_path, plot))
 
 
-def _ignore_line(_line: str) -> None:
+def _discard_line(_line: str) -> None:
     return
 
 
 def replace_targets(text: str, targets: tuple[str, ...]) -> str:
-    """Return the text of a plan with these targets in place of its own, in its section on load."""
+    """Return a plan's text with the targets in its `[load]` section replaced."""
     lines = [line for line in text.splitlines() if line.split("#")[0].split()[:1] != ["target"]]
     section = next((i for i, line in enumerate(lines) if line.strip() == "[load]"), -1)
     target_lines = [f"target {target}" for target in targets]
@@ -91,21 +91,21 @@
 
 
 def parse_watched_processes(watch: tuple[str, ...]) -> dict[str, int]:
-    """Process ids by name, from NAME=PID each. Raises click.BadParameter."""
+    """Parse NAME=PID options into process ids by name. Raises click.BadParameter."""
     processes = {}
     for option in watch:
         name, _, pid = option.partition("=")
         try:
             processes[name] = int(pid)
         except ValueError:
-            raise click.BadParameter("NAME=PID is wanted", param_hint="--watch") from None
+            raise click.BadParameter("expected NAME=PID", param_hint="--watch") from None
     return processes
 
 
 def report_result(path: Path, plot: Path | None) -> int:
-    """Print the report of a result; returns RULE_BROKEN_STATUS where rule 1 was broken, else 0.
+    """Print the report of a result; returns RULE_VIOLATED_STATUS if rule 1 was violated, else 0.
 
-    Raises ValueError for a file that holds no result.
+    Raises ValueError if the file is not a valid result.
     """
     from juniperreel.load.report import plots
     from juniperreel.load.summary import load_result, table, usage_lines
@@ -113,7 +113,7 @@
     from juniperreel.verification.responses import check_responses
 
     result = load_result(path)
-    for line in (*table(result.stages()), *_tables_by_kind(result), *_reason_lines(result)):
+    for line in (*table(result.stages()), *_class_and_tenant_rows(result), *_failure_reason_lines(result)):
         click.echo(line)
     for line in usage_lines(result):
         click.echo(line)
@@ -122,11 +122,11 @@
     click.echo(f"rule 1, from the clients' side: {verdict}")
     if plot is not None:
         plots({path.stem: result}, plot)
-    return RULE_BROKEN_STATUS if violations else 0
+    return RULE_VIOLATED_STATUS if violations else 0
 
 
-def _tables_by_kind(result: Result) -> Iterator[str]:
-    """Rows by class and by tenant over the whole plan, where there are several."""
+def _class_and_tenant_rows(result: Result) -> Iterator[str]:
+    """Yield table rows by class and by tenant over the whole plan, if it has more than one of them."""
     from juniperreel.load.summary import table
 
     span_us = result.plan.span_us
@@ -140,8 +140,8 @@
             yield from table(rows)[1:]
 
 
-def _reason_lines(result: Result) -> Iterator[str]:
-    """Why requests failed, the most frequent reasons first."""
+def _failure_reason_lines(result: Result) -> Iterator[str]:
+    """Yield the most frequent failure reasons with their counts, in descending order."""
     reasons: Counter[str] = Counter()
     for count in result.stages().values():
         reasons.update(count.reasons)
@@ -150,20 +150,20 @@
 
 
 @load.command()
-@click.argument("result", type=FILE_TO_READ)
-@click.option("--plot", type=FILE, help="Draw it into this PNG.")
+@click.argument("result", type=INPUT_FILE)
+@click.option("--plot", type=OUTPUT_FILE, help="Draw it into this PNG.")
 def report(result: Path, plot: Path | None) -> None:
     """Tell a RESULT again."""
     try:
         sys.exit(report_result(result, plot))
     except ValueError as error:
         click.echo(str(error), err=True)
-        sys.exit(BAD_INPUT_STATUS)
+        sys.exit(INVALID_INPUT_STATUS)
 
 
 @load.command()
-@click.argument("results", type=FILE_TO_READ, nargs=-1, required=True)
-@click.option("--plot", type=FILE, help="Draw them into this PNG.")
+@click.argument("results", type=INPUT_FILE, nargs=-1, required=True)
+@click.option("--plot", type=OUTPUT_FILE, help="Draw them into this PNG.")
 def compare(results: tuple[Path, ...], plot: Path | None) -> None:
     """Set RESULTS side by side, stage by stage."""
     from juniperreel.load.report import plots
@@ -173,7 +173,7 @@
         by_path = {str(path): load_result(path) for path in results}
     except ValueError as error:
         click.echo(str(error), err=True)
-        sys.exit(BAD_INPUT_STATUS)
+        sys.exit(INVALID_INPUT_STATUS)
     stages = {path: result.stages() for path, result in by_path.items()}
     for stage in dict.fromkeys(stage for counts in stages.values() for stage in counts):
         click.echo(stage)
--- a/juniperreel/cli/main.py
+++ b/juniperreel/cli/main.py
@@ -1,4 +1,4 @@
-"""`juniperreel`: the command line. A command's own modules are imported when it is asked for, no sooner."""
+"""`juniperreel`: the command line. The modules of a command are imported only when it is invoked."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class LazyCommand(NamedTuple):
-    """Where a command is found, and the line that `--help` shows of it without importing it."""
+    """A command's module, and the help line that `--help` shows without importing it."""
 
-    module: str  # of this package
+    module: str  # within juniperreel.cli
     short_help: str
 
 
@@ -37,14 +37,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that also has the commands of LAZY_COMMANDS."""
+    """A group whose commands in LAZY_COMMANDS are imported on use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Names of all commands, sorted."""
+        """Return the names of all commands, sorted."""
         return sorted({*super().list_commands(ctx), *LAZY_COMMANDS})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command, or look it up among those that are defined here."""
+        """Import a lazy command, or look up one that is defined in this module."""
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
         module = importlib.import_module(f"juniperreel.cli.{LAZY_COMMANDS[cmd_name].module}")
@@ -52,7 +52,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the table of commands without importing any."""
+        """Write the command table without importing any command."""
         rows = {name: lazy.short_help for name, lazy in LAZY_COMMANDS.items()}
         for name in super().list_commands(ctx):
             rows[name] = self.commands[name].get_short_help_str(80)
@@ -92,8 +92,8 @@
 
             sys.exit(trio.run(run_workers, settings, file))
         sys.exit(trio.run(run_edge, settings, TcpNetwork()))
-    except* (OSError, ValueError) as group:
-        for error in group.exceptions:
+    except* (OSError, ValueError) as errors:
+        for error in errors.exceptions:
             click.echo(f"edge {settings.name}: {error}", err=True)
         sys.exit(1)
 
--- a/juniperreel/cli/pool.py
+++ b/juniperreel/cli/pool.py
@@ -1,4 +1,4 @@
-"""`juniperreel pool show`: the pools of an edge, live, from its metrics."""
+"""`juniperreel pool show`: displays an edge's connection pools from its metrics."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from rich.table import Table
 
 STATES = ("leased", "idle", "opening")
-GAUGES = (*STATES, "most", "waiting")
-TIMEOUT_S = 5.0
-MIN_WATCH_S = 0.1
+COLUMNS = (*STATES, "most", "waiting")
+FETCH_TIMEOUT_S = 5.0
+MIN_REFRESH_INTERVAL_S = 0.1
 
 
 @dataclass(slots=True)
 class PoolMetrics:
-    """The pools of an edge at one time: gauges by member, and counters by reason."""
+    """A snapshot of an edge's pools: gauges by endpoint, and counters by reason."""
 
     members: dict[str, dict[str, float]] = field(default_factory=lambda: defaultdict(dict))
     no_connection: dict[str, float] = field(default_factory=dict)
     closed: dict[str, float] = field(default_factory=dict)
-    others: dict[str, float] = field(default_factory=lambda: {"replays": 0.0, "kills": 0.0})
+    other_counters: dict[str, float] = field(default_factory=lambda: {"replays": 0.0, "kills": 0.0})
 
     def counters(self) -> Iterator[tuple[str, float]]:
-        """Each counter with its title, in the order in which they are shown."""
+        """Yield each counter with its title, in display order."""
         for reason, count in sorted(self.no_connection.items()):
             yield f"no connection, {reason}", count
         for reason, count in sorted(self.closed.items()):
             yield f"closed after a lease, {reason}", count
-        yield from sorted(self.others.items())
+        yield from sorted(self.other_counters.items())
 
     def add(self, sample: Sample) -> None:
-        """Take in one sample of the edge's metrics; those of other parts are ignored."""
+        """Add one sample of the edge's metrics; samples that are not about pools are ignored."""
         match sample.name:
             case "juniperreel_pool_connections":
                 self.members[sample.labels["member"]][sample.labels["state"]] = sample.value
@@ -54,13 +54,13 @@
             case "juniperreel_pool_spent_total":
                 self.closed[sample.labels["reason"]] = sample.value
             case "juniperreel_pool_replays_total":
-                self.others["replays"] = sample.value
+                self.other_counters["replays"] = sample.value
             case "juniperreel_pool_kills_total":
-                self.others["kills"] = sample.value
+                self.other_counters["kills"] = sample.value
 
 
 def parse_metrics(text: str) -> PoolMetrics:
-    """Read a page of metrics. Raises ValueError for what is none."""
+    """Parse a metrics page. Raises ValueError if it is malformed."""
     metrics = PoolMetrics()
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -69,17 +69,20 @@
 
 
 def fetch_metrics(address: str) -> PoolMetrics:
-    """Read the metrics of the edge at this address. Raises OSError or ValueError."""
-    with urllib.request.urlopen(f"http://{address}/metrics", timeout=TIMEOUT_S) as response:
+    """Fetch the metrics of the edge at `address`. Raises OSError or ValueError."""
+    with urllib.request.urlopen(f"http://{address}/metrics", timeout=FETCH_TIMEOUT_S) as response:
         return parse_metrics(response.read().decode())
 
 
 def pool_table(metrics: PoolMetrics, previous: PoolMetrics | None, elapsed_s: float) -> Table:
-    """A row a member, with the counters below; with `previous`, also their rates over `elapsed_s`."""
-    table = Table("member", *GAUGES, title="connections")
+    """Build a table with one row per endpoint, and the counters as its caption.
+
+    With `previous`, the caption also has the rates of the counters over `elapsed_s`.
+    """
+    table = Table("member", *COLUMNS, title="connections")
     for name in sorted(metrics.members):
         gauges = metrics.members[name]
-        cells = [f"{gauges.get(gauge, 0):.0f}" for gauge in GAUGES]
+        cells = [f"{gauges.get(gauge, 0):.0f}" for gauge in COLUMNS]
         table.add_row(name, *cells, style="bold" if gauges.get("waiting") else "")
     previous_counts = dict(previous.counters()) if previous is not None else {}
     lines = []
@@ -107,12 +110,15 @@
     try:
         metrics = fetch_metrics(address)
         if not metrics.members:
-            click.echo(f"{address}: no pools; its members speak gRPC, or none is known yet", err=True)
+            click.echo(
+                f"{address}: no connection pools: endpoints speak gRPC, or none has been discovered yet",
+                err=True,
+            )
             sys.exit(1)
         if watch is None:
             Console().print(pool_table(metrics, None, 0.0))
             return
-        watch_pools(address, metrics, max(watch, MIN_WATCH_S))
+        watch_pools(address, metrics, max(watch, MIN_REFRESH_INTERVAL_S))
     except (OSError, ValueError, urllib.error.URLError) as error:
         click.echo(f"{address}: {error}", err=True)
         sys.exit(1)
@@ -121,14 +127,14 @@
 
 
 def watch_pools(address: str, metrics: PoolMetrics, interval_s: float) -> None:
-    """Show the pools again and again, beginning with `metrics`.
+    """Refresh the display every `interval_s`, starting with `metrics`.
 
-    Raises OSError, ValueError, KeyboardInterrupt.
+    Raises OSError, ValueError or KeyboardInterrupt.
     """
     with Live(pool_table(metrics, None, 0.0)) as live:
         while True:
             start = time.monotonic()
             time.sleep(interval_s)
-            newest = fetch_metrics(address)
-            live.update(pool_table(newest, metrics, time.monotonic() - start), refresh=True)
-            metrics = newest
+            current = fetch_metrics(address)
+            live.update(pool_table(current, metrics, time.monotonic() - start), refresh=True)
+            metrics = current
--- a/juniperreel/cli/promotion_source.py
+++ b/juniperreel/cli/promotion_source.py
@@ -1,4 +1,4 @@
-"""Keeps a configuration cluster up to date with a fake fleet: the part of a site's own control plane."""
+"""Publishes a fake fleet's state to a configuration cluster, as a deployment's control plane does."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from juniperreel.rpc.status import RpcError
 from juniperreel.verification.records import EndpointListed, RecordSink
 
-POLL_S = 0.05
-CLIENT = "feeder"  # under which its commands are known to the cluster
+POLL_INTERVAL_S = 0.05
+CLIENT_ID = "feeder"  # identifies its commands to the cluster
 
 
-class PromotionSource:
-    """Proposes the difference between the fleet as it is and the newest version that was confirmed.
+class ConfigurationPublisher:
+    """Proposes the differences between the fleet's state and the last confirmed version.
 
-    `edges` are the names of those that learn of members from the cluster. `ready` is set once a first version
-    is confirmed.
+    `edge_names` returns the names of the edges that learn of endpoints from the cluster. `ready` is set once
+    the first version is confirmed.
     """
 
     def __init__(
@@ -35,26 +35,26 @@
         clock: Clock,
         addresses: list[tuple[str, int]],
         record: RecordSink,
-        edges: Callable[[], list[str]],
+        edge_names: Callable[[], list[str]],
     ) -> None:
         self._fleet = fleet
         self._clock = clock
         self._record = record
-        self._edges = edges
-        self._instances = ConfigurationClient(network, clock, random.Random(fleet.script["seed"]), addresses)
+        self._edge_names = edge_names
+        self._client = ConfigurationClient(network, clock, random.Random(fleet.script["seed"]), addresses)
         self._confirmed: Configuration = EMPTY
         self._sequence = 0
         self.ready = trio.Event()
 
     async def run(self) -> None:
-        """Propose until cancelled; what cannot be confirmed is proposed again."""
+        """Propose changes until cancelled; unconfirmed changes are proposed again."""
         async with trio.open_nursery() as nursery:
-            await nursery.start(self._instances.run)
+            await nursery.start(self._client.run)
             while True:
                 changes = self._changes()
                 if changes:
                     await self._propose(changes)
-                await trio.sleep(POLL_S)
+                await trio.sleep(POLL_INTERVAL_S)
 
     def _changes(self) -> list[ConfigurationChange]:
         changes: list[ConfigurationChange] = []
@@ -63,14 +63,14 @@
             group_info = GroupInfo(group.epoch, primary)
             if self._confirmed.groups.get(group.number) != group_info:
                 changes.append(SetGroup(group.number, group_info))
-        for name, member in self._fleet.endpoints.items():
+        for name, endpoint in self._fleet.endpoints.items():
             member_info = MemberInfo(
-                member.group.number,
+                endpoint.group.number,
                 "127.0.0.1",
-                member.port,
-                member.zone,
-                state=state_of(member),
-                started_us=member.capacity.started_us,
+                endpoint.port,
+                endpoint.zone,
+                state=endpoint_state(endpoint),
+                started_us=endpoint.capacity.started_us,
             )
             if self._confirmed.members.get(name) != member_info:
                 changes.append(SetMember(name, member_info))
@@ -79,24 +79,24 @@
     async def _propose(self, changes: list[ConfigurationChange]) -> None:
         self._sequence += 1
         try:
-            outcome = await self._instances.propose(Command(CLIENT, self._sequence, changes))
+            outcome = await self._client.propose(Command(CLIENT_ID, self._sequence, changes))
             if outcome.rejection:
-                return  # the fleet has changed meanwhile; the next poll will show
-            before = self._confirmed
-            self._confirmed = await self._instances.get()
+                return  # the fleet has changed since; the next poll proposes the new difference
+            previous_configuration = self._confirmed
+            self._confirmed = await self._client.get()
         except (RpcError, LeaderUnreachableError):
             return
         self.ready.set()
-        now = self._clock.now_us()
+        now_us = self._clock.now_us()
         for name, member in self._confirmed.members.items():
-            previous = before.members.get(name)
+            previous = previous_configuration.members.get(name)
             if previous is None or previous.state != member.state:
-                for edge in self._edges():
-                    self._record(EndpointListed(now, edge, name, member.state))
+                for edge in self._edge_names():
+                    self._record(EndpointListed(now_us, edge, name, member.state))
 
 
-def state_of(member: FakeEndpoint) -> str:
-    """The state of a member in the configuration."""
-    if not member.draining:
+def endpoint_state(endpoint: FakeEndpoint) -> str:
+    """Return an endpoint's state as the configuration represents it."""
+    if not endpoint.draining:
         return "up"
-    return "draining" if member.alive else "gone"
+    return "draining" if endpoint.alive else "gone"
--- a/juniperreel/cli/raft.py
+++ b/juniperreel/cli/raft.py
@@ -1,4 +1,4 @@
-"""`juniperreel raft`: schedules against the core, and a look into a directory."""
+"""`juniperreel raft`: checks the Raft core with seeded schedules; inspects and recovers directories."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from juniperreel.raft.errors import StorageError
 from juniperreel.raft.offline import inspect_directory, rescue
 
-SEEDS_OF_PART = 100
+SEEDS_PER_TASK = 100
 
 
 @click.group()
@@ -24,14 +24,14 @@
 
 
 class ScheduleResult(NamedTuple):
-    """How many schedules ran, and the first that broke something."""
+    """The number of schedules that ran, and the first failure."""
 
     schedules: int
     failure: Failure | None
 
 
-def play_seeds(length: int, seeds: range) -> ScheduleResult:
-    """Play a schedule of `length` operations for each seed, up to the first failure."""
+def run_schedules(length: int, seeds: range) -> ScheduleResult:
+    """Run a schedule of `length` operations for each seed, stopping at the first failure."""
     for count, seed in enumerate(seeds, 1):
         failure = run(seed, length)
         if failure is not None:
@@ -80,7 +80,7 @@
 
 
 def print_failure(failure: Failure) -> None:
-    """Print the shortest list of operations that still fails."""
+    """Print a failure with its operations, reduced to the shortest list that still fails."""
     click.echo(f"seed {failure.seed}: {failure.violation}")
     click.echo(f"cut down to {len(failure.operations)} operations:")
     for kind, first, second in failure.operations:
@@ -94,18 +94,18 @@
 @click.option("--processes", default=8, show_default=True)
 def check(schedules: int, first: int, length: int, processes: int) -> None:
     """Play seeded schedules with loss, crashes, partitions and membership changes; judge every step."""
-    started = time.monotonic()
-    total = 0
+    started_s = time.monotonic()
+    total_schedules = 0
     failed = False
     end = first + schedules
-    parts = [range(seed, min(seed + SEEDS_OF_PART, end)) for seed in range(first, end, SEEDS_OF_PART)]
+    seed_ranges = [range(seed, min(seed + SEEDS_PER_TASK, end)) for seed in range(first, end, SEEDS_PER_TASK)]
     with ProcessPoolExecutor(processes) as pool:
-        for part_schedules, failure in pool.map(partial(play_seeds, length), parts):
-            total += part_schedules
+        for schedule_count, failure in pool.map(partial(run_schedules, length), seed_ranges):
+            total_schedules += schedule_count
             if failure is not None:
                 failed = True
                 print_failure(failure)
-    elapsed_s = time.monotonic() - started
+    elapsed_s = time.monotonic() - started_s
     verdict = "BROKEN" if failed else "nothing broken"
-    click.echo(f"{total} schedules of {length} operations in {elapsed_s:.1f} s: {verdict}")
+    click.echo(f"{total_schedules} schedules of {length} operations in {elapsed_s:.1f} s: {verdict}")
     sys.exit(1 if failed else 0)
--- a/juniperreel/cli/report.py
+++ b/juniperreel/cli/report.py
@@ -1,4 +1,4 @@
-"""The table at the end of a history, from its records, and the verdicts on the rules."""
+"""The report on a recording: outcomes and latency by request class, and a verdict on each rule."""
 
 from __future__ import annotations
 
@@ -19,55 +19,58 @@
 from juniperreel.verification.rules import RULES, check_all
 from juniperreel.verification.staleness import ReadCounts, check_reads
 
-# Response times of the histograms: microseconds, and significant digits.
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
-DIGITS = 3
+# Range of the response time histograms in microseconds, and their precision.
+HISTOGRAM_MIN_US = 1
+HISTOGRAM_MAX_US = 60_000_000
+HISTOGRAM_SIGNIFICANT_DIGITS = 3
 MILLISECOND_US = 1_000
-REFUSED_STATUSES = (8, 14)  # gRPC's RESOURCE_EXHAUSTED and UNAVAILABLE
+REJECTED_STATUSES = (8, 14)  # gRPC's RESOURCE_EXHAUSTED and UNAVAILABLE
 OUTCOMES = ("served", "refused", "failed", "no answer")
 PERCENTILES = (50, 99)
-BAD_RECORDING_STATUS = 2
+INVALID_RECORDING_STATUS = 2
 
 
-def outcome_of(answer: rec.ResponseReceived | None) -> str:
-    """Which of OUTCOMES an answer is; None and what the client gave itself are no answer."""
-    if answer is None or answer.local:
+def classify_response(response: rec.ResponseReceived | None) -> str:
+    """Classify a response as one of OUTCOMES; a missing or client-generated one is 'no answer'."""
+    if response is None or response.local:
         return "no answer"
-    if answer.status == 0:
+    if response.status == 0:
         return "served"
-    return "refused" if answer.status in REFUSED_STATUSES else "failed"
+    return "refused" if response.status in REJECTED_STATUSES else "failed"
 
 
 @dataclass(slots=True)
 class ClassSummary:
-    """What became of one class's requests; `requests` counts a client's retries under the first attempt."""
+    """The outcomes of one class's requests; `requests` does not count client retries, `attempts` does."""
 
     requests: int = 0
     attempts: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)
-    times: HdrHistogram = field(default_factory=lambda: HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS))
+    response_times: HdrHistogram = field(
+        default_factory=lambda: HdrHistogram(HISTOGRAM_MIN_US, HISTOGRAM_MAX_US, HISTOGRAM_SIGNIFICANT_DIGITS)
+    )
 
     def row(self, name: str) -> str:
-        """The class's line in the table."""
+        """Format the class's row of the table."""
         counts = (self.requests, self.attempts, *(self.outcomes[outcome] for outcome in OUTCOMES))
         percentiles = [
-            self.times.get_value_at_percentile(percentile) / MILLISECOND_US for percentile in PERCENTILES
+            self.response_times.get_value_at_percentile(percentile) / MILLISECOND_US
+            for percentile in PERCENTILES
         ]
         cells = "".join(f"{count:>10}" for count in counts)
         return f"{name:<12}{cells}" + "".join(f"{value:>10.1f}" for value in percentiles)
 
 
-class DaySummary:
-    """Requests by class, and the share of the priority weight that was served.
+class RunSummary:
+    """Requests by class, and the share of the offered priority weight that was served.
 
-    A response in time earns its class's whole weight and a late one a part of it, both measured from the
-    client's first attempt.
+    A response within the latency objective earns its class's full weight and a late one a fraction of it. The
+    time counts from the client's first attempt.
     """
 
     def __init__(self, history: History) -> None:
         self.classes: dict[str, ClassSummary] = {}
-        self._day = history
+        self._history = history
         self._first_attempts = {
             attempt.request_id: request
             for attempt, request in history.requests.items()
@@ -83,39 +86,39 @@
 
     @property
     def requests(self) -> int:
-        """Requests of clients, without their retries."""
+        """The number of client requests, not counting retries."""
         return len(self._first_attempts)
 
     @property
     def served_share(self) -> float:
-        """Weight earned over weight offered; 0 where there was no request."""
+        """Weight earned over weight offered; 0 if there were no requests."""
         return self._weight_earned / self._weight_offered if self._weight_offered else 0.0
 
     def table(self) -> Iterator[str]:
-        """A line of headings and a line a class."""
+        """Yield a header and one row per class."""
         headings = ("asked", "tries", *OUTCOMES, *(f"p{percentile} ms" for percentile in PERCENTILES))
         yield f"{'class':<12}" + "".join(f"{heading:>10}" for heading in headings)
         for name, summary in self.classes.items():
             yield summary.row(name)
 
-    def _count(self, request: rec.RequestSent, answer: rec.ResponseReceived | None) -> None:
+    def _count(self, request: rec.RequestSent, response: rec.ResponseReceived | None) -> None:
         summary = self.classes.setdefault(request.class_name, ClassSummary())
         summary.attempts += 1
-        summary.outcomes[outcome_of(answer)] += 1
-        if answer is not None and answer.status == 0:
-            summary.times.record_value(max(answer.at - request.at, 1))
-            self._weight_earned += self._weight_of(request, answer)
-
-    def _weight_of(self, request: rec.RequestSent, answer: rec.ResponseReceived) -> float:
-        cls = self._day.classes[request.class_name]
-        in_time = answer.at - self._first_attempts[request.request_id].at <= cls.latency_objective_us
+        summary.outcomes[classify_response(response)] += 1
+        if response is not None and response.status == 0:
+            summary.response_times.record_value(max(response.at - request.at, 1))
+            self._weight_earned += self._earned_weight(request, response)
+
+    def _earned_weight(self, request: rec.RequestSent, response: rec.ResponseReceived) -> float:
+        cls = self._history.classes[request.class_name]
+        in_time = response.at - self._first_attempts[request.request_id].at <= cls.latency_objective_us
         return cls.priority_weight * (1.0 if in_time else cls.late_priority_weight)
 
 
 def summary_lines(records: list[rec.Record]) -> list[str]:
-    """Requests by class and outcome, the share served, and how much the checkers had to judge by."""
+    """Summarize requests by class and outcome, the share served, and how many reads the checkers judged."""
     history = History.of(records)
-    summary = DaySummary(history)
+    summary = RunSummary(history)
     lines = [*summary.table()]
     offered = sum(record.count for record in records if isinstance(record, rec.LoadOffered))
     if offered:
@@ -137,10 +140,10 @@
     return lines
 
 
-def verdicts(found: dict[int, list[Violation]]) -> Iterator[str]:
-    """A line for each rule that held, two for each that was broken."""
+def verdict_lines(violations_by_rule: dict[int, list[Violation]]) -> Iterator[str]:
+    """Yield one line per rule that held, and two per violated rule: the verdict and the offending record."""
     for number, (name, _) in RULES.items():
-        violations = found[number]
+        violations = violations_by_rule[number]
         if not violations:
             yield f"rule {number} ({name}): held"
             continue
@@ -149,19 +152,19 @@
 
 
 def read_recording_or_exit(recording: Path) -> list[rec.Record]:
-    """Return the records; where a line is none, say which and end the command with 2."""
+    """Read a recording; if a line is invalid, print which and exit with INVALID_RECORDING_STATUS."""
     try:
         return list(rec.read_recording(recording))
     except RecordingFormatError as error:
         click.echo(str(error), err=True)
-        sys.exit(BAD_RECORDING_STATUS)
+        sys.exit(INVALID_RECORDING_STATUS)
 
 
-def conclude(records: list[rec.Record], more: Iterable[str] = ()) -> NoReturn:
-    """Print the summary, `more` and the verdicts; end the command with 1 for a broken rule, else 0."""
-    for line in (*summary_lines(records), *more):
+def print_report_and_exit(records: list[rec.Record], extra_lines: Iterable[str] = ()) -> NoReturn:
+    """Print the summary, `extra_lines` and the verdicts; exit with 1 if a rule was violated, else 0."""
+    for line in (*summary_lines(records), *extra_lines):
         click.echo(line)
-    found = check_all(records)
-    for line in verdicts(found):
+    violations_by_rule = check_all(records)
+    for line in verdict_lines(violations_by_rule):
         click.echo(line)
-    sys.exit(1 if any(found.values()) else 0)
+    sys.exit(1 if any(violations_by_rule.values()) else 0)
--- a/juniperreel/cli/scripts.py
+++ b/juniperreel/cli/scripts.py
@@ -1,4 +1,4 @@
-"""Reads day scripts for commands that cannot go on without one."""
+"""Script parsing and recorder files shared by several commands."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from juniperreel.fakes.script import Script, ScriptError, parse
 from juniperreel.verification.records import Recorder
 
-BAD_SCRIPT_STATUS = 2
+INVALID_SCRIPT_STATUS = 2
 
 
-def parse_or_exit(text: str, prefix: str = "") -> Script:
-    """Return the day of a script; if it is bad, say all that is wrong and end the command with 2."""
+def parse_script_or_exit(text: str, prefix: str = "") -> Script:
+    """Parse a script; if it is invalid, print every error and exit with status INVALID_SCRIPT_STATUS."""
     try:
         return parse(text)
     except ScriptError as error:
         click.echo(f"{prefix}{error}", err=True)
-        sys.exit(BAD_SCRIPT_STATUS)
+        sys.exit(INVALID_SCRIPT_STATUS)
 
 
 @contextmanager
 def open_recorder(path: Path | None) -> Iterator[Recorder]:
-    """A recorder that also writes to `path`, if there is one. Raises OSError."""
+    """Yield a recorder that also writes to `path`, if given. Raises OSError."""
     if path is None:
         yield Recorder()
         return
--- a/juniperreel/cli/settings_file.py
+++ b/juniperreel/cli/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads an edge's settings file for commands that cannot go on without it."""
+"""Reads an edge's settings file on behalf of commands that require one."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from juniperreel.settings import EdgeSettings, SettingsError, read_edge
 
-UNREADABLE_STATUS = 2
+INVALID_SETTINGS_STATUS = 2
 
 
 def read_settings_or_exit(file: Path) -> EdgeSettings:
-    """Return the settings; say all that is wrong with the file and end the command with 2 if they are bad."""
+    """Return the settings, or print every error in the file and exit with INVALID_SETTINGS_STATUS."""
     try:
         return read_edge(file)
     except SettingsError as error:
@@ -22,4 +22,4 @@
         click.echo(f"{file}: refused, {count} problem{'s' if count > 1 else ''}", err=True)
     except OSError as error:
         click.echo(f"{file}: {error.strerror}", err=True)
-    sys.exit(UNREADABLE_STATUS)
+    sys.exit(INVALID_SETTINGS_STATUS)
--- a/juniperreel/cli/signals.py
+++ b/juniperreel/cli/signals.py
@@ -1,4 +1,4 @@
-"""Stops a program by signal: gracefully at the first, at once at the second."""
+"""Shutdown by signal: graceful at the first signal, immediate at the second."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 async def run_until_signalled(run: Callable[[], Awaitable[None]], stop: trio.Event) -> int:
-    """Run `run`, set `stop` at the first SIGTERM or SIGINT and cancel it at the second.
+    """Await `run()`; the first SIGTERM or SIGINT sets `stop`, the second cancels it.
 
-    Returns the exit status: 0, or CANCELLED_STATUS if it had to be cancelled.
+    Returns the exit status: 0, or CANCELLED_STATUS if it was cancelled.
     """
     status = 0
     async with trio.open_nursery() as nursery:
--- a/juniperreel/cli/standins.py
+++ b/juniperreel/cli/standins.py
@@ -1,4 +1,4 @@
-"""`juniperreel standins`: the fleet alone, for edges that are started by hand."""
+"""`juniperreel standins`: runs the fake endpoints and endpoint list alone, for manually started edges."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import click
 import trio
 
-from juniperreel.cli.scripts import open_recorder, parse_or_exit
+from juniperreel.cli.scripts import open_recorder, parse_script_or_exit
 from juniperreel.fakes.fleet import Fleet
 from juniperreel.fakes.fleet_processes import FleetProcesses
 from juniperreel.fakes.script import Script, Step
@@ -17,17 +17,17 @@
 from juniperreel.verification.records import Recorder
 
 
-async def play(day: Script, recorder: Recorder, port: int) -> None:
-    """Play a day's fleet in this process, with the host list on `port` (0: any free one)."""
+async def run_fleet(script: Script, recorder: Recorder, port: int) -> None:
+    """Run a script's fleet in this process, with the endpoint list on `port` (0 selects a free port)."""
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(day, TcpNetwork(), Clock(), recorder)
+        fleet = Fleet(script, TcpNetwork(), Clock(), recorder)
         fleet.endpoint_list.port = port
         await nursery.start(fleet.run)
         click.echo(f"host list on 127.0.0.1:{fleet.endpoint_list.port}")
-        for member in fleet.endpoints.values():
-            click.echo(f"{member.name} on 127.0.0.1:{member.port}")
+        for endpoint in fleet.endpoints.values():
+            click.echo(f"{endpoint.name} on 127.0.0.1:{endpoint.port}")
         nursery.start_soon(fleet.play, _skip_edge_fault)
-        await trio.sleep(day["last"] / US)
+        await trio.sleep(script["last"] / US)
         nursery.cancel_scope.cancel()
 
 
@@ -35,22 +35,26 @@
     click.echo(f"left out, since edges are started by hand: {step.text}")
 
 
-def play_in_processes(script: Path, day: Script, port: int, record: Path | None, processes: int) -> None:
-    """Play the groups in several processes; each keeps its records beside `record`, numbered.
+def run_in_processes(
+    script: Path, parsed_script: Script, port: int, record: Path | None, processes: int
+) -> None:
+    """Run the groups in several processes, each of which writes its own numbered file next to `record`.
 
-    Ends the command with 1 where a process ends before the day is over.
+    Exits with status 1 if a process ends before the script does.
     """
     try:
-        trio.run(_run_parts, script, day, port, record, processes)
+        trio.run(_run_fleet_processes, script, parsed_script, port, record, processes)
     except* KeyboardInterrupt:
         click.echo("stopped", err=True)
-    except* RuntimeError as group:
-        click.echo("; ".join(str(error) for error in group.exceptions), err=True)
+    except* RuntimeError as errors:
+        click.echo("; ".join(str(error) for error in errors.exceptions), err=True)
         sys.exit(1)
 
 
-async def _run_parts(script: Path, day: Script, port: int, record: Path | None, processes: int) -> None:
-    await FleetProcesses(script, day, port, processes, record).run(click.echo)
+async def _run_fleet_processes(
+    script: Path, parsed_script: Script, port: int, record: Path | None, processes: int
+) -> None:
+    await FleetProcesses(script, parsed_script, port, processes, record).run(click.echo)
 
 
 @click.command()
@@ -62,12 +66,12 @@
 @click.option("--processes", type=click.IntRange(1, 64), default=1, help="Groups are spread over so many.")
 def standins(script: Path, port: int, record: Path | None, processes: int) -> None:
     """Start the members and the host list of a SCRIPT and play its faults, until its end or Ctrl-C."""
-    day = parse_or_exit(script.read_text(encoding="utf-8"))
+    parsed_script = parse_script_or_exit(script.read_text(encoding="utf-8"))
     if processes > 1:
-        play_in_processes(script, day, port, record, processes)
+        run_in_processes(script, parsed_script, port, record, processes)
         return
     try:
         with open_recorder(record) as recorder:
-            trio.run(play, day, recorder, port)
+            trio.run(run_fleet, parsed_script, recorder, port)
     except KeyboardInterrupt:
         click.echo("stopped", err=True)
--- a/juniperreel/cli/statement.py
+++ b/juniperreel/cli/statement.py
@@ -1,4 +1,4 @@
-"""`juniperreel statement`: what the MySQL front makes of a text."""
+"""`juniperreel statement`: shows how the MySQL frontend classifies and routes a statement."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from juniperreel.frontends.mysql.transaction_scope import Action, Plan, TransactionScope
 from juniperreel.statements import Classification, classify_statement
 
-NO_MYSQL_STATUS = 2
+NO_MYSQL_SECTION_STATUS = 2
 
 
 class MatchedSettings(NamedTuple):
-    """What an edge's settings say of a statement, its members' transactions and their schema."""
+    """A statement's class by an edge's settings, and what they say of its endpoints."""
 
     class_name: str
     holds_transactions: bool
@@ -35,62 +35,67 @@
 def statement(text: str, settings: Path | None, user: str, schema: str) -> None:
     """Say how a statement's TEXT is read, where it may go, and its digest."""
     data = text.encode()
-    reading = classify_statement(data)
-    print_reading(reading)
+    classification = classify_statement(data)
+    print_classification(classification)
     matched = None
     if settings is not None:
-        matched = match_settings(settings, data, reading.replica_safe, user, schema)
+        matched = match_settings(settings, data, classification.replica_safe, user, schema)
     scope = (
         TransactionScope(True, "")
         if matched is None
         else TransactionScope(matched.holds_transactions, matched.database)
     )
-    plan = scope.plan(reading)
-    click.echo(f"in autocommit: {destination(plan, reading)}")
+    plan = scope.plan(classification)
+    click.echo(f"in autocommit: {destination(plan, classification)}")
     if matched is not None and plan.action is Action.SINGLE_REQUEST:
         click.echo(f"class: {matched.class_name}")
     click.echo(f"digest: {statement_digest(data) or 'none, it cannot be read'}")
 
 
-def print_reading(reading: Classification) -> None:
-    """Print the statement's kind, what it depends on and whether it commits."""
-    reason = f" ({reading.reason})" if reading.reason else ""
-    click.echo(f"kind: {reading.kind.value}{reason}")
-    if reading.dependencies:
-        click.echo(f"depends on: {', '.join(sorted(reading.dependencies))}")
-    if reading.implicit_commit:
+def print_classification(classification: Classification) -> None:
+    """Print a statement's kind, its dependencies and whether it commits implicitly."""
+    reason = f" ({classification.reason})" if classification.reason else ""
+    click.echo(f"kind: {classification.kind.value}{reason}")
+    if classification.dependencies:
+        click.echo(f"depends on: {', '.join(sorted(classification.dependencies))}")
+    if classification.implicit_commit:
         click.echo("commits what is open before it runs")
 
 
-def destination(plan: Plan, reading: Classification) -> str:
-    """Who serves the statement outside a transaction, in words."""
+def destination(plan: Plan, classification: Classification) -> str:
+    """Describe where the statement is routed outside a transaction."""
     match plan.action:
         case Action.REJECT:
-            place = f"refused with {plan.error_code.number}: {plan.error_message}"
+            description = f"refused with {plan.error_code.number}: {plan.error_message}"
         case Action.ACKNOWLEDGE:
-            place = "answered by the edge itself"
+            description = "answered by the edge itself"
         case Action.BEGIN_TRANSACTION:
-            place = "a primary, and a transaction begins"
+            description = "a primary, and a transaction begins"
         case _:
-            place = "any member that satisfies the token" if reading.replica_safe else "a primary"
+            description = (
+                "any member that satisfies the token" if classification.replica_safe else "a primary"
+            )
     if plan.taints_connection:
-        place += ", on a connection that nobody gets afterwards"
-    return place
+        description += ", on a connection that nobody gets afterwards"
+    return description
 
 
-def match_settings(file: Path, data: bytes, replica: bool, user: str, schema: str) -> MatchedSettings:
-    """Return what the settings say; end the command with 2 if they are bad or have no MySQL frontend."""
-    from juniperreel.cli.edge_options import mysql_classes
+def match_settings(file: Path, data: bytes, replica_safe: bool, user: str, schema: str) -> MatchedSettings:
+    """Match a statement against an edge's settings.
+
+    Exits with status 2 if the settings are invalid or have no MySQL frontend.
+    """
+    from juniperreel.cli.edge_options import request_classifier
     from juniperreel.cli.settings_file import read_settings_or_exit
 
     settings = read_settings_or_exit(file)
     if settings.mysql_frontend is None:
         click.echo(f"{file}: there is no [mysql] section", err=True)
-        sys.exit(NO_MYSQL_STATUS)
-    classes = mysql_classes(settings)
-    traits = StatementTraits(not replica, user, schema, hint_of(data), statement_digest(data))
-    index, _ = classes.classify(traits)
+        sys.exit(NO_MYSQL_SECTION_STATUS)
+    classifier = request_classifier(settings)
+    traits = StatementTraits(not replica_safe, user, schema, hint_of(data), statement_digest(data))
+    class_index, _ = classifier.classify(traits)
     database = settings.mysql_endpoints.database if settings.mysql_endpoints is not None else ""
     return MatchedSettings(
-        settings.router.classes[index].name, settings.mysql_endpoints is not None, database
+        settings.router.classes[class_index].name, settings.mysql_endpoints is not None, database
     )
--- a/juniperreel/cli/trial.py
+++ b/juniperreel/cli/trial.py
@@ -1,4 +1,4 @@
-"""`juniperreel trial`: several processes of the program, faults between them, how even their load was."""
+"""`juniperreel trial`: runs several drivers with injected faults and checks the recorded traffic."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 import click
 import trio
 
-from juniperreel.cli.report import conclude, read_recording_or_exit
-from juniperreel.cli.spread_report import evenness_table, share_table
+from juniperreel.cli.report import print_report_and_exit, read_recording_or_exit
+from juniperreel.cli.spread_report import balance_table, share_table
 from juniperreel.fakes.script import Script, ScriptError, parse, render
 from juniperreel.net import TcpNetwork
 from juniperreel.net.clock import US
@@ -30,17 +30,17 @@
 from juniperreel.verification import records as rec
 from juniperreel.verification.rules import check_all
 
-FILE_TO_READ = click.Path(path_type=Path, exists=True, dir_okay=False)
-FILE = click.Path(path_type=Path, dir_okay=False)
-FOLDER = click.Path(path_type=Path, file_okay=False)
-RULE_BROKEN_STATUS = 1
-RULE_HELD_STATUS = 1  # of `shrink`, which needs a broken one
-BAD_INPUT_STATUS = 2
+INPUT_FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
+OUTPUT_FILE = click.Path(path_type=Path, dir_okay=False)
+OUTPUT_FOLDER = click.Path(path_type=Path, file_okay=False)
+RULE_VIOLATED_STATUS = 1
+RULE_HELD_STATUS = 1  # of `shrink`, which requires a script that violates the rule
+INVALID_INPUT_STATUS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
-    """What a trial left: its records, and lines on what was counted."""
+    """A trial's records, and report lines on its counters."""
 
     records: list[rec.Record]
     counts: list[str]
@@ -48,53 +48,54 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialOptions:
-    """How a trial is played.
+    """How a trial is run.
 
-    `pause_s` is a session's mean pause between requests; `processes` bounds the processes for drivers, 0
-    plays all in this one; `driver` is what each driver is started by, the platform's own command if empty.
+    `pause_s` is a session's mean pause between requests; `processes` limits the testbed processes that manage
+    drivers, 0 runs the testbed in this process; `driver` is the command that starts a driver, the platform's
+    own if empty.
     """
 
     pause_s: float
     processes: int
     driver: tuple[str, ...]
 
-    def play(self, day: Script, folder: Path) -> TrialResult:
-        """Play a day; settings and logs are left in `folder`."""
+    def run(self, script: Script, folder: Path) -> TrialResult:
+        """Run a script, leaving settings and logs in `folder`."""
         folder.mkdir(parents=True, exist_ok=True)
-        play = self._play_in_processes if self.processes else self._play_here
-        return trio.run(play, day, folder.resolve())
+        run_trial = self._run_multi_process if self.processes else self._run_single_process
+        return trio.run(run_trial, script, folder.resolve())
 
-    async def _play_here(self, day: Script, folder: Path) -> TrialResult:
-        trial = SingleProcessTrial(day, TcpNetwork(), folder, self.pause_s, self.driver or DRIVER_PROGRAM)
+    async def _run_single_process(self, script: Script, folder: Path) -> TrialResult:
+        trial = SingleProcessTrial(script, TcpNetwork(), folder, self.pause_s, self.driver or DRIVER_PROGRAM)
         await trial.run()
         counts = f"probes {trial.probes}, connections to members {trial.connections_opened}"
         return TrialResult(trial.recorder.records, [counts])
 
-    async def _play_in_processes(self, day: Script, folder: Path) -> TrialResult:
-        trial = MultiProcessTrial(day, folder, self.processes, self.driver)
+    async def _run_multi_process(self, script: Script, folder: Path) -> TrialResult:
+        trial = MultiProcessTrial(script, folder, self.processes, self.driver)
         await trial.run(partial(click.echo, err=True))
         requests = max(sum(isinstance(record, rec.RequestSent) for record in trial.records), 1)
         return TrialResult(trial.records, count_lines([*trial.counts.values()], requests))
 
 
 def count_lines(counts: list[ProcessCounts], requests: int) -> list[str]:
-    """What all processes of a trial counted, beside the number of requests."""
+    """Format the counters of all processes of a trial, also per request."""
     probes = sum(count.probes for count in counts)
-    opened = sum(count.connections for count in counts)
+    connections = sum(count.connections for count in counts)
     peak = max(count.peak_connections for count in counts)
-    calls = sum(count.discovery_calls for count in counts)
-    lag_s = max(count.max_lag_us for count in counts) / US
+    discovery_calls = sum(count.discovery_calls for count in counts)
+    max_lag_s = max(count.max_lag_us for count in counts) / US
     cpu_s = sum(count.cpu_s for count in counts)
     return [
-        f"probes {probes} ({probes / requests:.2f} a request), connections to members {opened} "
-        f"({opened / requests:.2f}), at most {peak} at one member, calls for the list {calls}",
-        f"the rig's own loops were late by {lag_s:.2f} s at most; with the drivers it took "
+        f"probes {probes} ({probes / requests:.2f} a request), connections to members {connections} "
+        f"({connections / requests:.2f}), at most {peak} at one member, calls for the list {discovery_calls}",
+        f"the rig's own loops were late by {max_lag_s:.2f} s at most; with the drivers it took "
         f"{cpu_s:.0f} s of processors",
     ]
 
 
 def trial_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Decorate a command with the options of TrialOptions, which it is given as `options`."""
+    """Add the options of TrialOptions to a command, which receives them as `options`."""
 
     @click.option(
         "--pause", type=click.FloatRange(min=0), default=0.15, help="Mean pause of a session, in seconds."
@@ -108,16 +109,16 @@
     )
     @click.option("--driver", default="", help="Start drivers by this file and its arguments instead.")
     @wraps(command)
-    def _with_options(*args: Any, pause: float, crews: int, driver: str, **more: Any) -> None:
-        command(*args, options=TrialOptions(pause, crews, parse_driver(driver)), **more)
+    def _with_options(*args: Any, pause: float, crews: int, driver: str, **arguments: Any) -> None:
+        command(*args, options=TrialOptions(pause, crews, parse_driver(driver)), **arguments)
 
     return _with_options
 
 
 def parse_driver(text: str) -> tuple[str, ...]:
-    """Split a driver's command line and make its file absolute.
+    """Split a driver's command line and make the path of its program absolute.
 
-    Raises click.BadParameter if there is no such file.
+    Raises click.BadParameter if the program does not exist.
     """
     if not text.strip():
         return ()
@@ -127,20 +128,20 @@
     return (str(Path(file).resolve()), *arguments)
 
 
-def read_day_or_exit(script: Path, seed: int | None = None) -> Script:
-    """Return a script's day, with this seed if one is given; end the command with 2 if it is bad."""
+def read_script_or_exit(script: Path, seed: int | None = None) -> Script:
+    """Read a script, with `seed` in place of its own if given; exits with status 2 if it is invalid."""
     try:
-        day = parse(script.read_text(encoding="utf-8"))
+        parsed_script = parse(script.read_text(encoding="utf-8"))
     except (ScriptError, UnicodeDecodeError) as error:
         click.echo(f"{script}: {error}", err=True)
-        sys.exit(BAD_INPUT_STATUS)
+        sys.exit(INVALID_INPUT_STATUS)
     if seed is not None:
-        day.settings["seed"] = seed
-    return day
+        parsed_script.settings["seed"] = seed
+    return parsed_script
 
 
 def write_recording(records: list[rec.Record], recording: Path) -> None:
-    """Write records to a file that `read_recording_or_exit` reads."""
+    """Write records as a file that `read_recording_or_exit` can read."""
     with recording.open("wb") as out:
         recorder = rec.Recorder(out)
         for record in records:
@@ -148,7 +149,7 @@
 
 
 def first_violations(records: list[rec.Record]) -> dict[int, str]:
-    """The first violation of each rule that was broken."""
+    """Return the first violation of each violated rule."""
     return {rule: found[0].text for rule, found in check_all(records).items() if found}
 
 
@@ -158,11 +159,11 @@
 
 
 @trial.command()
-@click.argument("script", type=FILE_TO_READ)
+@click.argument("script", type=INPUT_FILE)
 @trial_options
 @click.option("--seed", type=int, help="Another seed than the script's.")
-@click.option("--logs", type=FOLDER, help="Keep settings and logs here.")
-@click.option("--record", type=FILE, help="Keep the recording here.")
+@click.option("--logs", type=OUTPUT_FOLDER, help="Keep settings and logs here.")
+@click.option("--record", type=OUTPUT_FILE, help="Keep the recording here.")
 def run(
     script: Path, options: TrialOptions, seed: int | None, logs: Path | None, record: Path | None
 ) -> None:
@@ -170,105 +171,105 @@
 
     Exit status 1: a rule was broken; 2: the script can't be played.
     """
-    day = read_day_or_exit(script, seed)
+    parsed_script = read_script_or_exit(script, seed)
     with tempfile.TemporaryDirectory() as temporary:
-        result = options.play(day, logs or Path(temporary))
+        result = options.run(parsed_script, logs or Path(temporary))
     if record is not None:
         write_recording(result.records, record)
-    conclude(result.records, [*result.counts, *evenness_table(result.records)])
+    print_report_and_exit(result.records, [*result.counts, *balance_table(result.records)])
 
 
 @trial.command()
-@click.argument("script", type=FILE_TO_READ)
+@click.argument("script", type=INPUT_FILE)
 @trial_options
 @click.option("--seeds", type=click.IntRange(min=1), default=10, help="So many, from the script's on.")
-@click.option("--out", type=FOLDER, default=Path("found"), help="Keeps what broke.")
+@click.option("--out", type=OUTPUT_FOLDER, default=Path("found"), help="Keeps what broke.")
 def hunt(script: Path, options: TrialOptions, seeds: int, out: Path) -> None:
     """Play a SCRIPT with one seed after another until a rule breaks; its recording, logs and script are kept.
 
     Exit status 1: one broke.
     """
-    first_seed = read_day_or_exit(script)["seed"]
-    began = time.monotonic()
-    for done, seed in enumerate(range(first_seed, first_seed + seeds)):
-        report_progress(seed, done, seeds, time.monotonic() - began)
+    first_seed = read_script_or_exit(script)["seed"]
+    started_s = time.monotonic()
+    for completed, seed in enumerate(range(first_seed, first_seed + seeds)):
+        report_progress(seed, completed, seeds, time.monotonic() - started_s)
         folder = out / f"{script.stem}-{seed}"
-        day = read_day_or_exit(script, seed)
-        result = options.play(day, folder)
+        parsed_script = read_script_or_exit(script, seed)
+        result = options.run(parsed_script, folder)
         violations = first_violations(result.records)
         if not violations:
             shutil.rmtree(folder)
             continue
         write_recording(result.records, folder / "recording")
-        (folder / "script.day").write_text(render(day), encoding="utf-8")
+        (folder / "script.day").write_text(render(parsed_script), encoding="utf-8")
         for rule, text in violations.items():
             click.echo(f"seed {seed} broke rule {rule}: {text}")
         click.echo(f"kept in {folder}")
-        sys.exit(RULE_BROKEN_STATUS)
+        sys.exit(RULE_VIOLATED_STATUS)
     click.echo(f"{seeds} seeds, no rule broken")
 
 
-def report_progress(seed: int, done: int, seeds: int, elapsed_s: float) -> None:
-    """Say which seed is next and, from the second on, how long the rest may take."""
+def report_progress(seed: int, completed: int, seeds: int, elapsed_s: float) -> None:
+    """Print the next seed and, from the second on, the estimated remaining time."""
     remaining = ""
-    if done:
-        remaining = f", about {elapsed_s / done * (seeds - done):.0f} s left"
-    click.echo(f"seed {seed}, {done + 1} of {seeds}{remaining}", err=True)
+    if completed:
+        remaining = f", about {elapsed_s / completed * (seeds - completed):.0f} s left"
+    click.echo(f"seed {seed}, {completed + 1} of {seeds}{remaining}", err=True)
 
 
 @trial.command("shrink")
-@click.argument("script", type=FILE_TO_READ)
+@click.argument("script", type=INPUT_FILE)
 @trial_options
 @click.option("--rule", type=click.IntRange(1, 5), required=True, help="That is to stay broken.")
 @click.option("--plays", type=click.IntRange(min=1), default=30, help="At most so many.")
-@click.option("--out", type=FILE, required=True, help="The smaller script.")
+@click.option("--out", type=OUTPUT_FILE, required=True, help="The smaller script.")
 def shrink_script(script: Path, options: TrialOptions, rule: int, plays: int, out: Path) -> None:
     """Make a SCRIPT that breaks a rule smaller, with the rule still broken.
 
     Exit status 1: it didn't break the rule to begin with.
     """
-    day = read_day_or_exit(script)
-    if not breaks_rule(options, rule, day):
-        click.echo(f"rule {rule} holds as the script stands", err=True)
+    parsed_script = read_script_or_exit(script)
+    if not violates_rule(options, rule, parsed_script):
+        click.echo(f"rule {rule} is not violated by the unmodified script", err=True)
         sys.exit(RULE_HELD_STATUS)
-    fails = partial(breaks_rule_in_thread, options, rule)
-    smallest = trio.run(shrink, day, fails, plays, partial(click.echo, err=True))
+    still_fails = partial(violates_rule_in_thread, options, rule)
+    smallest = trio.run(shrink, parsed_script, still_fails, plays, partial(click.echo, err=True))
     out.write_text(render(smallest), encoding="utf-8")
-    click.echo(f"{len(smallest.steps)} of {len(day.steps)} faults are left; {out}")
+    click.echo(f"{len(smallest.steps)} of {len(parsed_script.steps)} faults are left; {out}")
 
 
-def breaks_rule(options: TrialOptions, rule: int, day: Script) -> bool:
-    """Play a day once and tell whether it broke the rule."""
+def violates_rule(options: TrialOptions, rule: int, script: Script) -> bool:
+    """Run a script once and return whether it violated the rule."""
     with tempfile.TemporaryDirectory() as folder:
-        return rule in first_violations(options.play(day, Path(folder)).records)
+        return rule in first_violations(options.run(script, Path(folder)).records)
 
 
-async def breaks_rule_in_thread(options: TrialOptions, rule: int, day: Script) -> bool:
-    """`breaks_rule` in a thread, since each play has an event loop of its own."""
-    return await trio.to_thread.run_sync(breaks_rule, options, rule, day)
+async def violates_rule_in_thread(options: TrialOptions, rule: int, script: Script) -> bool:
+    """Call `violates_rule` in a thread, since each run starts an event loop of its own."""
+    return await trio.to_thread.run_sync(violates_rule, options, rule, script)
 
 
 @trial.command("picture")
-@click.argument("recording", type=FILE_TO_READ)
-@click.argument("out", type=FILE)
+@click.argument("recording", type=INPUT_FILE)
+@click.argument("out", type=OUTPUT_FILE)
 def picture(recording: Path, out: Path) -> None:
     """Draw a RECORDING: replicas' work by second, what was served, the faults; OUT is a PNG."""
     try:
         draw_picture(read_recording_or_exit(recording), out)
     except ValueError as error:
         click.echo(f"{recording}: {error}", err=True)
-        sys.exit(BAD_INPUT_STATUS)
+        sys.exit(INVALID_INPUT_STATUS)
 
 
 @trial.command("spread")
-@click.argument("recording", type=FILE_TO_READ)
+@click.argument("recording", type=INPUT_FILE)
 @click.option(
     "--step", type=click.FloatRange(min=0.1), help="Also each replica's share in steps of so many seconds."
 )
 def spread(recording: Path, step: float | None) -> None:
     """How evenly replicas were loaded, from a RECORDING."""
     records = read_recording_or_exit(recording)
-    for line in evenness_table(records):
+    for line in balance_table(records):
         click.echo(line)
     if step is not None:
         for line in share_table(records, int(step * US)):
--- a/juniperreel/cli/worker.py
+++ b/juniperreel/cli/worker.py
@@ -1,8 +1,9 @@
-"""One worker of an edge: the edge's own program, on connections that its parent hands over.
+"""A worker process of an edge, which serves the connections that the parent process passes to it.
 
     python -m juniperreel.cli.worker HANDOVER SETTINGS FILE SLOT LISTEN-PORT MYSQL-PORT
 
-HANDOVER and SETTINGS are descriptors that the parent opened; FILE names the settings for messages and paths.
+HANDOVER and SETTINGS are file descriptors inherited from the parent: the socket over which it passes
+connections, and the text of the settings. FILE is the settings' path, for error messages and relative paths.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 SERVING_EVENT = "worker serving"
 REPORT_INTERVAL_S = 0.1
-ACCEPT_POLL_S = 0.01
-BAD_SETTINGS_STATUS = 2
+ACCEPT_POLL_INTERVAL_S = 0.01
+INVALID_SETTINGS_STATUS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerArguments:
-    """The command line. Ports are those that the parent listens on; 0 where it has no MySQL frontend."""
+    """The command line. Ports are those that the parent listens on; `mysql_port` is 0 without MySQL."""
 
     handover_descriptor: int
     settings_descriptor: int
@@ -45,7 +46,7 @@
 
     @staticmethod
     def parse(arguments: list[str]) -> WorkerArguments:
-        """Raises ValueError where arguments are missing or no numbers."""
+        """Parse the command line. Raises ValueError if arguments are missing or not numeric."""
         handover, settings, file, slot, port, mysql_port = arguments[:6]
         return WorkerArguments(
             int(handover), int(settings), Path(file), int(slot), int(port), int(mysql_port)
@@ -53,7 +54,7 @@
 
 
 def worker_settings(settings: EdgeSettings, slot: int, port: int, mysql_port: int) -> EdgeSettings:
-    """Return a worker's part of the edge's settings: its share of the limits, and the parent's addresses."""
+    """Derive a worker's settings: its share of the edge's limits, with the parent's addresses."""
     workers = settings.workers
     mysql = settings.mysql_frontend
     if mysql is not None:
@@ -72,7 +73,7 @@
 
 
 class Worker:
-    """The edge of this worker process, under its parent's orders."""
+    """Runs the edge of a worker process as directed by the parent process."""
 
     def __init__(self, settings: EdgeSettings, handover: SocketPassing, slot: int) -> None:
         self._network = PassedSocketNetwork()
@@ -84,11 +85,11 @@
             self._addresses[MYSQL] = settings.mysql_frontend.listen
 
     async def run(self) -> None:
-        """Serve until the edge has ended."""
+        """Serve until the edge has shut down."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._edge.run)
             nursery.start_soon(self._report_status)
-            nursery.start_soon(self._follow_parent)
+            nursery.start_soon(self._receive_from_parent)
             nursery.start_soon(self._stop_on_signal)
             await self._edge.ended.wait()
             nursery.cancel_scope.cancel()
@@ -99,24 +100,24 @@
             self._handover.send(msgspec.json.encode(status))
             await trio.sleep(REPORT_INTERVAL_S)
 
-    async def _follow_parent(self) -> None:
-        """Take connections until the parent has this worker drain, or has ended."""
+    async def _receive_from_parent(self) -> None:
+        """Accept passed connections until the parent requests draining or exits."""
         while True:
             message, connection = await self._handover.receive()
             if connection is not None:
                 self._accept(message, connection)
             elif not message:
-                self._edge.log.error("parent ended, worker shutting down")
+                self._edge.log.error("parent process exited, worker shutting down")
                 break
             elif message == DRAIN:
                 break
-        # Connections that were handed over before are accepted before the shutdown.
+        # Connections that were passed before the drain request are accepted before the shutdown begins.
         while any(listener.queued for listener in self._network.listeners.values()):
-            await trio.sleep(ACCEPT_POLL_S)
+            await trio.sleep(ACCEPT_POLL_INTERVAL_S)
         self._edge.stop()
 
     def _accept(self, listener_name: bytes, connection: socket.socket) -> None:
-        """Hand the connection to its listener, or close it where there is none."""
+        """Deliver a connection to its listener, or close it if there is none."""
         address = self._addresses.get(listener_name)
         listener = None if address is None else self._network.listeners.get(address)
         if listener is None:
@@ -125,30 +126,30 @@
             listener.deliver(connection)
 
     async def _stop_on_signal(self) -> None:
-        """A worker that is terminated by itself drains; its parent replaces it."""
+        """Drain on SIGTERM; the parent replaces a worker that exits on its own."""
         with trio.open_signal_receiver(signal.SIGTERM) as signals:
             async for _ in signals:
                 self._edge.stop()
 
 
 def main() -> None:
-    """The worker's entry point; ends with BAD_SETTINGS_STATUS where the settings cannot be used."""
+    """The worker's entry point; exits with INVALID_SETTINGS_STATUS if the settings are unusable."""
     arguments = WorkerArguments.parse(sys.argv[1:])
     ignore_interrupts()
     with os.fdopen(arguments.settings_descriptor, "rb") as source:
         text = source.read()
     try:
         settings = parse_edge(text, str(arguments.file), arguments.file.parent)
-    except SettingsError as error:  # the parent has checked all but files that are gone since
+    except SettingsError as error:  # validated by the parent, but files they refer to may be gone since
         print(error, file=sys.stderr)
-        sys.exit(BAD_SETTINGS_STATUS)
+        sys.exit(INVALID_SETTINGS_STATUS)
     settings = worker_settings(settings, arguments.slot, arguments.port, arguments.mysql_port)
     handover = SocketPassing(socket.socket(fileno=arguments.handover_descriptor))
     trio.run(run_worker, settings, handover, arguments.slot)
 
 
 async def run_worker(settings: EdgeSettings, handover: SocketPassing, slot: int) -> None:
-    """Run one worker with its part of the settings."""
+    """Run a worker with its derived settings."""
     await Worker(settings, handover, slot).run()
 
 
--- a/juniperreel/cli/workers.py
+++ b/juniperreel/cli/workers.py
@@ -1,4 +1,4 @@
-"""Wires an edge of several workers: parent, listeners, one page of metrics, reload and stop by signal."""
+"""Assembles a multi-worker edge: parent, listeners, aggregated metrics, reload and shutdown by signal."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 from juniperreel.telemetry.log import make_log
 from juniperreel.workers.parent import GRPC, MYSQL, GenerationPlan, Parent
 
-METRICS_READS = 3
+METRICS_READ_ATTEMPTS = 3
 UNREADABLE_METRICS = b"# the workers' metrics could not be read\n"
 WORKERS_REMAINING_STATUS = 1
 
 
 class Ports(NamedTuple):
-    """The ports that the parent listens on; 0 until it does, and where there is no MySQL frontend."""
+    """The ports that the parent listens on; 0 before it listens, and without a MySQL frontend."""
 
     grpc: int = 0
     mysql: int = 0
 
 
 def fixed_addresses(settings: EdgeSettings) -> dict[str, object]:
-    """The addresses, by directive, that a running parent cannot change."""
+    """Return the addresses, by directive, that cannot be changed without a restart."""
     mysql = settings.mysql_frontend.listen if settings.mysql_frontend is not None else None
     return {"listen": settings.listen, "metrics": settings.metrics, "mysql_listen": mysql}
 
 
 class MultiWorkerEdge:
-    """The parent's program: `run` serves until it is stopped by signal."""
+    """The parent process of a multi-worker edge; `run` serves until stopped by signal."""
 
     def __init__(self, settings: EdgeSettings, file: Path, text: bytes) -> None:
-        """`text` is what `file` held when the settings were read from it."""
+        """`text` is the content of `file` from which `settings` were parsed."""
         self._settings = settings
         self._file = file
         self._log: Any = make_log(settings.log_format, settings.log_level, edge=settings.name)
         self._metrics_directory = tempfile.TemporaryDirectory(prefix="juniperreel-metrics-")
         self._ports = Ports()
         self._parent = Parent(
-            self._plan(settings, text),
+            self._generation_plan(settings, text),
             Clock(),
             self._log,
             secrets.randbits(32),
@@ -56,9 +56,9 @@
         )
 
     async def run(self) -> int:
-        """Serve until stopped; the exit status is WORKERS_REMAINING_STATUS if workers had to be left running.
+        """Serve until stopped; returns WORKERS_REMAINING_STATUS if workers are still running, else 0.
 
-        Raises OSError where it cannot listen.
+        Raises OSError if listening fails.
         """
         network = TcpNetwork()
         with self._metrics_directory:
@@ -84,7 +84,7 @@
         self._log.info("shutdown complete", workers=remaining)
         return WORKERS_REMAINING_STATUS if remaining else 0
 
-    def _plan(self, settings: EdgeSettings, text: bytes) -> GenerationPlan:
+    def _generation_plan(self, settings: EdgeSettings, text: bytes) -> GenerationPlan:
         return GenerationPlan(text, settings.workers, self._worker_command, settings.shutdown_timeout_us)
 
     def _worker_command(self, handover: int, source: int, slot: int) -> list[str]:
@@ -102,7 +102,7 @@
         )
 
     async def _handle_signals(self, scope: trio.CancelScope) -> None:
-        """SIGHUP reloads; SIGTERM and SIGINT stop gracefully, and at once when they come again."""
+        """Reload on SIGHUP; shut down gracefully on SIGTERM or SIGINT, immediately on a second one."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
@@ -114,44 +114,47 @@
                     self._parent.stop()
 
     async def _reload(self) -> None:
-        """A good file starts new workers, and the old ones drain; a bad one changes nothing."""
+        """Reload the settings file.
+
+        If it is valid, new workers start and the old ones drain; otherwise nothing changes.
+        """
         try:
             text = await trio.to_thread.run_sync(self._file.read_bytes)
             settings = parse_edge(text, str(self._file), self._file.parent)
         except (SettingsError, OSError) as error:
-            rejection = str(error)
+            rejection_reason = str(error)
         else:
-            rejection = self._restart_needed(settings)
-        if rejection:
-            self._log.error("configuration reload rejected", error=rejection)
+            rejection_reason = self._restart_reason(settings)
+        if rejection_reason:
+            self._log.error("configuration reload rejected", error=rejection_reason)
             return
         self._log.info("configuration reloaded", workers=settings.workers)
         self._settings = settings
-        self._parent.reload(self._plan(settings, text))
+        self._parent.reload(self._generation_plan(settings, text))
 
-    def _restart_needed(self, settings: EdgeSettings) -> str:
-        """Why the settings need a restart; empty if they do not."""
+    def _restart_reason(self, settings: EdgeSettings) -> str:
+        """Return why the settings require a restart, or an empty text if they do not."""
         running = fixed_addresses(self._settings)
-        wanted = fixed_addresses(settings)
-        changed = [name for name, address in running.items() if address != wanted[name]]
+        requested = fixed_addresses(settings)
+        changed = [name for name, address in running.items() if address != requested[name]]
         return f"{', '.join(changed)}: needs a restart" if changed else ""
 
     async def _serve_metrics(self, network: TcpNetwork, nursery: trio.Nursery) -> str | None:
-        """Start the page of metrics; returns its address, None where the settings have none."""
+        """Serve the metrics page and return its address, or None if it is not configured."""
         if self._settings.metrics is None:
             return None
         host, _ = self._settings.metrics
-        http = HttpFrontend(self._metrics_or_note, lambda: self._parent.serving)
+        http = HttpFrontend(self._metrics_or_error_comment, lambda: self._parent.serving)
         listener = await network.listen(*self._settings.metrics)
         port = await nursery.start(http.serve, listener)
         return f"{host}:{port}"
 
-    def _metrics_or_note(self) -> bytes:
-        """The workers' metrics, or a comment that they cannot be read.
+    def _metrics_or_error_comment(self) -> bytes:
+        """Return the workers' metrics, or a comment saying that they are unreadable.
 
-        Danger: a file that a worker is just beginning reads as broken, and that must not end the parent.
+        A metrics file that a worker is still creating reads as corrupt, which must not terminate the parent.
         """
-        for _ in range(METRICS_READS):
+        for _ in range(METRICS_READ_ATTEMPTS):
             try:
                 return self._collect_metrics()
             except Exception as error:
@@ -159,21 +162,25 @@
         return UNREADABLE_METRICS
 
     def _collect_metrics(self) -> bytes:
-        """All workers' metrics on one page, and the parent's own."""
+        """Aggregate the metrics of all workers with the parent's own."""
         registry = CollectorRegistry()
         directory = self._metrics_directory.name
         multiprocess.MultiProcessCollector(registry, path=directory)  # type: ignore[no-untyped-call]
-        workers = Gauge("juniperreel_workers", "Workers, by phase", ["phase"], registry=registry)
+        workers = Gauge("juniperreel_workers", "Number of workers by phase", ["phase"], registry=registry)
         for phase, count in self._parent.counts().items():
             workers.labels(phase).set(count)
-        replaced = Gauge("juniperreel_workers_replaced", "Workers that ended unasked", registry=registry)
+        replaced = Gauge(
+            "juniperreel_workers_replaced",
+            "Number of workers replaced after an unexpected exit",
+            registry=registry,
+        )
         replaced.set(self._parent.supervisor.replaced)
         return generate_latest(registry)
 
 
 async def run_workers(settings: EdgeSettings, file: Path) -> int:
-    """Run an edge of several workers; returns the exit status.
+    """Run a multi-worker edge and return the exit status.
 
-    Raises OSError where the file cannot be read again or the edge cannot listen.
+    Raises OSError if the settings file cannot be read again or listening fails.
     """
     return await MultiWorkerEdge(settings, file, file.read_bytes()).run()
