--- a/juniperreel/cli/trial.py
+++ b/juniperreel/cli/trial.py
@@ -124,7 +124,7 @@
         return ()
     file, *arguments = shlex.split(text)
     if not Path(file).is_file():
-        raise click.BadParameter(f"{file} is no file", param_hint="--driver")
+        raise click.BadParameter(f"{file} is not a file", param_hint="--driver")
     return (str(Path(file).resolve()), *arguments)
 
 
--- a/tests/cli/test_configd.py
+++ b/tests/cli/test_configd.py
@@ -1,4 +1,4 @@
-"""ThreeInstances instances as processes of their own, and the commands on them."""
+"""Tests of `configd`, `config` and `raft` against a cluster with one process per instance."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.cli.test_commands import COMMAND
 from tests.e2e.world import EDGE
 
-FILE = """
+SETTINGS_TEMPLATE = """
 [instance]
 name {name}
 cluster test
@@ -29,36 +29,36 @@
 MEMBER = {"group": 0, "address": "127.0.0.1", "port": 9}
 
 
-class ThreeInstances:
-    """A cluster of three instances, each a process of its own."""
+class ThreeInstanceCluster:
+    """A cluster of three instances, each in a separate process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         (folder / "cluster.key").write_bytes(b"k" * 32)
         (folder / "token.key").write_bytes(b"k" * 32)
         (folder / "ada.password").write_bytes(b"love lace")
-        holders = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
-        self.ports = [s.getsockname()[1] for s in holders]
-        for holder in holders:
-            holder.close()
-        self.names = [f"c{n}@127.0.0.1:{port}" for n, port in enumerate(self.ports)]
-        members = "\n".join(f"member {n}" for n in self.names)
-        for n, name in enumerate(self.names):
-            text = FILE.format(name=name, folder=f"d{n}", members=members)
-            (folder / f"c{n}.conf").write_text(text)
+        port_holders = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
+        self.ports = [listener.getsockname()[1] for listener in port_holders]
+        for port_holder in port_holders:
+            port_holder.close()
+        self.names = [f"c{number}@127.0.0.1:{port}" for number, port in enumerate(self.ports)]
+        members = "\n".join(f"member {instance}" for instance in self.names)
+        for number, name in enumerate(self.names):
+            text = SETTINGS_TEMPLATE.format(name=name, folder=f"d{number}", members=members)
+            (folder / f"c{number}.conf").write_text(text)
         self.processes: dict[int, subprocess.Popen[str]] = {}
-        for n in range(3):
-            self.start(n, "--create")
+        for number in range(3):
+            self.start(number, "--create")
 
-    def start(self, n: int, *arguments: str) -> None:
-        log = (self.folder / f"c{n}.log").open("a")
-        command = [*COMMAND, "configd", str(self.folder / f"c{n}.conf"), *arguments]
-        self.processes[n] = subprocess.Popen(command, stderr=log, text=True)
+    def start(self, number: int, *arguments: str) -> None:
+        log = (self.folder / f"c{number}.log").open("a")
+        command = [*COMMAND, "configd", str(self.folder / f"c{number}.conf"), *arguments]
+        self.processes[number] = subprocess.Popen(command, stderr=log, text=True)
 
     def config(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        at = [w for port in self.ports for w in ("--at", f"127.0.0.1:{port}")]
+        address_options = [word for port in self.ports for word in ("--at", f"127.0.0.1:{port}")]
         return subprocess.run(
-            [*COMMAND, "config", *at, *arguments], capture_output=True, text=True, timeout=60
+            [*COMMAND, "config", *address_options, *arguments], capture_output=True, text=True, timeout=60
         )
 
     def set(self, changes: list[object], *arguments: str) -> subprocess.CompletedProcess[str]:
@@ -66,8 +66,8 @@
         path.write_text(json.dumps(changes))
         return self.config("set", str(path), *arguments)
 
-    def all_reach(self, version: int) -> bool:
-        """Wait until each instance has a version; return whether they do."""
+    def all_instances_reach(self, version: int) -> bool:
+        """Poll until every instance has applied `version`; return False if that takes too long."""
         for _ in range(100):
             if self.config("status").stdout.count(f" version {version}, ") == len(self.processes):
                 return True
@@ -82,102 +82,108 @@
 
 
 @pytest.fixture
-def three(tmp_path: Path) -> Iterator[ThreeInstances]:
-    made = ThreeInstances(tmp_path)
-    yield made
-    made.stop()
+def cluster(tmp_path: Path) -> Iterator[ThreeInstanceCluster]:
+    cluster = ThreeInstanceCluster(tmp_path)
+    yield cluster
+    cluster.stop()
 
 
-def test_a_cluster_from_the_shell_through_a_lost_leader(three: ThreeInstances) -> None:
-    (three.folder / "edge.conf").write_text(EDGE.format(hosts=7000))
-    for _ in range(20):  # the instances are still starting
-        seeded = three.config("seed", str(three.folder / "edge.conf"))
-        if seeded.returncode == 0:
+def test_cluster_serves_commands_after_losing_its_leader(cluster: ThreeInstanceCluster) -> None:
+    (cluster.folder / "edge.conf").write_text(EDGE.format(hosts=7000))
+    for _ in range(20):  # the instances may still be starting
+        seed_result = cluster.config("seed", str(cluster.folder / "edge.conf"))
+        if seed_result.returncode == 0:
             break
         time.sleep(0.2)
-    assert seeded.stdout == "version 1\n", seeded.stderr
+    assert seed_result.stdout == "version 1\n", seed_result.stderr
     changes: list[object] = [
         {"type": "set-member", "name": "m0", "member": MEMBER},
         {"type": "set-group", "number": 0, "group": {"epoch": 1, "primary": "m0"}},
     ]
-    assert three.set(changes, "--expect", "1").stdout == "version 2\n"
-    refused = three.set([{"type": "set-state", "name": "m0", "state": "gone"}])
-    assert refused.returncode == 1
-    assert "rule 3" in refused.stderr
-    status = three.config("status").stdout
-    leader = next(n for n in range(3) if f"{three.names[n]}: leader" in status)
-    three.processes[leader].send_signal(signal.SIGKILL)
-    three.processes[leader].wait(10)
+    assert cluster.set(changes, "--expect", "1").stdout == "version 2\n"
+    rejected = cluster.set([{"type": "set-state", "name": "m0", "state": "gone"}])
+    assert rejected.returncode == 1
+    assert "rule 3" in rejected.stderr
+    status = cluster.config("status").stdout
+    leader = next(number for number in range(3) if f"{cluster.names[number]}: leader" in status)
+    cluster.processes[leader].send_signal(signal.SIGKILL)
+    cluster.processes[leader].wait(10)
     changes = [{"type": "set-state", "name": "m0", "state": "draining"}]
-    assert three.set(changes).stdout == "version 3\n"
-    inspected = subprocess.run(
-        [*COMMAND, "raft", "inspect", str(three.folder / f"d{leader}")], capture_output=True, text=True
+    assert cluster.set(changes).stdout == "version 3\n"
+    inspect_result = subprocess.run(
+        [*COMMAND, "raft", "inspect", str(cluster.folder / f"d{leader}")], capture_output=True, text=True
     )
-    assert f"node {three.names[leader]} of cluster test" in inspected.stdout
-    three.start(leader)
-    got = json.loads(three.config("get").stdout)
-    assert got["version"] == 3
-    assert got["members"]["m0"]["state"] == "draining"
-    assert set(got["classes"]) == {"board", "own", "write", "once"}
-    other = next(n for n in range(3) if n != leader)
-    three.processes[other].terminate()
-    assert three.processes[other].wait(15) == 0
-
-
-def test_a_directory_is_not_created_twice_and_an_empty_one_is_refused(three: ThreeInstances) -> None:
-    conf = str(three.folder / "c0.conf")
+    assert f"node {cluster.names[leader]} of cluster test" in inspect_result.stdout
+    cluster.start(leader)
+    configuration = json.loads(cluster.config("get").stdout)
+    assert configuration["version"] == 3
+    assert configuration["members"]["m0"]["state"] == "draining"
+    assert set(configuration["classes"]) == {"board", "own", "write", "once"}
+    other_instance = next(number for number in range(3) if number != leader)
+    cluster.processes[other_instance].terminate()
+    assert cluster.processes[other_instance].wait(15) == 0
+
+
+def test_create_rejects_an_existing_directory_and_open_rejects_an_empty_one(
+    cluster: ThreeInstanceCluster,
+) -> None:
+    conf = str(cluster.folder / "c0.conf")
     for _ in range(400):
-        if (three.folder / "d0" / "data.mdb").exists():
+        if (cluster.folder / "d0" / "data.mdb").exists():
             break
         time.sleep(0.05)
-    twice = subprocess.run(
+    second_create = subprocess.run(
         [*COMMAND, "configd", conf, "--create"], capture_output=True, text=True, timeout=30
     )
-    assert twice.returncode == 2
-    assert "already" in twice.stderr
-    text = (three.folder / "c0.conf").read_text().replace("directory d0", "directory empty")
-    (three.folder / "e.conf").write_text(text)
-    command = [sys.executable, "-m", "juniperreel.cli.main", "configd", str(three.folder / "e.conf")]
-    empty = subprocess.run(command, capture_output=True, text=True, timeout=30)
-    assert empty.returncode == 2
-    assert "forgotten what it voted" in empty.stderr
-
-
-def test_a_lost_quorum_is_rescued_from_one_directory_and_grows_again(three: ThreeInstances) -> None:
-    change: list[object] = [{"type": "set-limit", "name": "attempts", "value": 5}]
+    assert second_create.returncode == 2
+    assert "already" in second_create.stderr
+    text = (cluster.folder / "c0.conf").read_text().replace("directory d0", "directory empty")
+    (cluster.folder / "e.conf").write_text(text)
+    command = [sys.executable, "-m", "juniperreel.cli.main", "configd", str(cluster.folder / "e.conf")]
+    empty_result = subprocess.run(command, capture_output=True, text=True, timeout=30)
+    assert empty_result.returncode == 2
+    assert "forgotten what it voted" in empty_result.stderr
+
+
+def test_rescued_cluster_continues_from_one_directory_and_accepts_a_new_member(
+    cluster: ThreeInstanceCluster,
+) -> None:
+    changes: list[object] = [{"type": "set-limit", "name": "attempts", "value": 5}]
     for _ in range(20):
-        if three.set(change).returncode == 0:
+        if cluster.set(changes).returncode == 0:
             break
         time.sleep(0.2)
-    assert three.all_reach(1), "the quorum that took it may be the other two, and one may be starting"
-    for process in three.processes.values():
+    assert cluster.all_instances_reach(1), (
+        "instance 0 may not have been part of the committing quorum, and one may still be starting"
+    )
+    for process in cluster.processes.values():
         process.kill()
         process.wait(10)
-    (three.folder / "d1" / "data.mdb").unlink()
-    (three.folder / "d2" / "data.mdb").unlink()
-    holders = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
-    three.ports = [s.getsockname()[1] for s in holders]
-    names = [f"n{n}@127.0.0.1:{port}" for n, port in enumerate(three.ports)]
-    for holder in holders:
-        holder.close()
-    rescue = ["raft", "rescue", str(three.folder / "d0"), "--into", str(three.folder / "e0")]
+    (cluster.folder / "d1" / "data.mdb").unlink()
+    (cluster.folder / "d2" / "data.mdb").unlink()
+    port_holders = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
+    cluster.ports = [listener.getsockname()[1] for listener in port_holders]
+    names = [f"n{number}@127.0.0.1:{port}" for number, port in enumerate(cluster.ports)]
+    for port_holder in port_holders:
+        port_holder.close()
+    rescue = ["raft", "rescue", str(cluster.folder / "d0"), "--into", str(cluster.folder / "e0")]
     command = [*COMMAND, *rescue, "--cluster", "second", "--name", names[0]]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.startswith("version 1;"), done.stderr
-    for n, name in enumerate(names):
-        text = FILE.format(name=name, folder=f"e{n}", members=f"member {names[0]}")
-        (three.folder / f"c{n}.conf").write_text(text.replace("cluster test", "cluster second"))
-    three.start(0)
-    three.start(1, "--join")
+    rescue_result = subprocess.run(command, capture_output=True, text=True, timeout=30)
+    assert rescue_result.returncode == 0, rescue_result.stderr
+    assert rescue_result.stdout.startswith("version 1;"), rescue_result.stderr
+    for number, name in enumerate(names):
+        text = SETTINGS_TEMPLATE.format(name=name, folder=f"e{number}", members=f"member {names[0]}")
+        (cluster.folder / f"c{number}.conf").write_text(text.replace("cluster test", "cluster second"))
+    cluster.start(0)
+    cluster.start(1, "--join")
     for arguments in (("add", names[1]), ("promote", names[1])):
-        for _ in range(20):  # it may be starting, or lack entries still
-            step = three.config("members", *arguments)
-            if step.returncode == 0:
+        for _ in range(20):  # the instance may still be starting, or lagging behind the log
+            membership_result = cluster.config("members", *arguments)
+            if membership_result.returncode == 0:
                 break
             time.sleep(0.2)
-        assert step.returncode == 0, step.stderr
-    assert three.set([{"type": "set-limit", "name": "attempts", "value": 6}]).stdout == "version 2\n"
-    got = json.loads(three.config("get").stdout)
-    assert got["limits"] == {"attempts": 6}
-    assert f"voters {', '.join(names)}" in three.config("status").stdout
+        assert membership_result.returncode == 0, membership_result.stderr
+    assert cluster.set([{"type": "set-limit", "name": "attempts", "value": 6}]).stdout == "version 2\n"
+    configuration = json.loads(cluster.config("get").stdout)
+    assert configuration["limits"] == {"attempts": 6}
+    assert f"voters {', '.join(names)}" in cluster.config("status").stdout
--- a/tests/cli/test_pool.py
+++ b/tests/cli/test_pool.py
@@ -1,4 +1,4 @@
-"""`juniperreel pool show` against an edge that serves."""
+"""Tests of `juniperreel pool show` against a serving edge."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 @pytest.fixture
 async def world(nursery: trio.Nursery, tmp_path: Path) -> World:
-    started: World = await nursery.start(World(tmp_path, "mysql-members 1").run)
-    return started
+    world: World = await nursery.start(World(tmp_path, "mysql-members 1").run)
+    return world
 
 
 async def test_pool_show_prints_members_of_an_edge_that_serves(world: World, nursery: trio.Nursery) -> None:
@@ -32,18 +32,18 @@
         ):
             await trio.sleep(0.05)
 
-    def run() -> str:
+    def show_pools() -> str:
         result = CliRunner().invoke(main, ["pool", "show", f"127.0.0.1:{port}"])
         assert result.exit_code == 0, result.output
         return result.output
 
-    output = await trio.to_thread.run_sync(run)
+    output = await trio.to_thread.run_sync(show_pools)
     assert all(name in output for name in (*world.fleet.endpoints, "leased", "waiting", "32"))
 
 
 def test_pool_show_of_an_address_without_an_edge_ends_with_1() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port = listener.getsockname()[1]
     result = CliRunner().invoke(main, ["pool", "show", f"127.0.0.1:{port}"])
     assert result.exit_code == 1
     assert "refused" in result.output
@@ -57,10 +57,10 @@
 # TYPE juniperreel_pool_connections gauge
 juniperreel_pool_connections{member="m1",state="leased"} 4
 """
-    before = parse_metrics(text % (10, 100))
-    after = parse_metrics(text % (14, 120))
-    caption = str(pool_table(after, before, 2.0).caption)
+    previous = parse_metrics(text % (10, 100))
+    current = parse_metrics(text % (14, 120))
+    caption = str(pool_table(current, previous, 2.0).caption)
     assert "too many wait: 14 (2.0/s)" in caption
     assert "replays: 120 (10.0/s)" in caption
-    assert pool_table(after, None, 0.0).row_count == 1
+    assert pool_table(current, None, 0.0).row_count == 1
     assert pool_table(PoolMetrics(), None, 0.0).row_count == 0
--- a/tests/cli/test_workers.py
+++ b/tests/cli/test_workers.py
@@ -1,4 +1,4 @@
-"""An edge of several workers as an operator runs it: killed, reloaded and stopped under its clients."""
+"""Tests of a multi-worker edge: worker failure, reload and shutdown under continuous client load."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 from juniperreel.proto.common.v1 import values_pb2
 from juniperreel.proto.records.v1 import records_pb2
-from tests.cli.test_commands import SELECT, Running
+from tests.cli.test_commands import SELECT, RunningEdge
 
 EXECUTE = "/juniperreel.v1.Records/Execute"
 WORKERS = 3
-SECONDS = 60
+TIMEOUT_S = 60
 
 
-class Clients:
-    """Threads that each ask one thing after another on a channel of their own, until told to stop."""
+class ContinuousClients:
+    """Client threads that each send requests in a closed loop on a separate channel until stopped."""
 
     def __init__(self, address: str, count: int) -> None:
         self.served = [0] * count
@@ -49,123 +49,134 @@
                 except grpc.RpcError as error:
                     self.failed.append(error)
 
-    def settle(self) -> None:
-        """Until each has been served some more."""
-        before = list(self.served)
-        end = time.monotonic() + SECONDS
-        while any(now < then + 5 for now, then in zip(self.served, before, strict=True)):
-            assert time.monotonic() < end, (before, self.served, self.failed[-3:])
+    def wait_for_progress(self) -> None:
+        """Wait until each client has been served at least five more requests."""
+        counts_before = list(self.served)
+        deadline = time.monotonic() + TIMEOUT_S
+        while any(
+            count < count_before + 5 for count, count_before in zip(self.served, counts_before, strict=True)
+        ):
+            assert time.monotonic() < deadline, (counts_before, self.served, self.failed[-3:])
             time.sleep(0.02)
 
     def stop(self) -> None:
         self._stop.set()
         for thread in self._threads:
-            thread.join(SECONDS)
+            thread.join(TIMEOUT_S)
 
 
-class Edge(Running):
+class MultiWorkerEdge(RunningEdge):
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, f"\nworkers {WORKERS}")
 
     def pids(self) -> list[int]:
-        return [line["pid"] for line in self.lines if line["event"] == "worker started"]
+        return [line["pid"] for line in self.log_events if line["event"] == "worker started"]
 
     def metric(self, name: str) -> float:
-        place = next(line for line in self.lines if line["event"] == "serving")["metrics"]
-        with urllib.request.urlopen(f"http://{place}/metrics", timeout=10) as answer:
+        address = next(line for line in self.log_events if line["event"] == "serving")["metrics"]
+        with urllib.request.urlopen(f"http://{address}/metrics", timeout=10) as answer:
             text = answer.read().decode()
-        return sum(float(v) for v in re.findall(rf"^{re.escape(name)}(?:{{.*}})? (\S+)$", text, re.M))
+        return sum(
+            float(value_text)
+            for value_text in re.findall(rf"^{re.escape(name)}(?:{{.*}})? (\S+)$", text, re.M)
+        )
 
-    def reach(self, name: str, value: float) -> None:
-        end = time.monotonic() + SECONDS
+    def wait_for_metric(self, name: str, value: float) -> None:
+        deadline = time.monotonic() + TIMEOUT_S
         while self.metric(name) != value:
-            assert time.monotonic() < end, (name, self.metric(name))
+            assert time.monotonic() < deadline, (name, self.metric(name))
             time.sleep(0.05)
 
 
 @pytest.fixture
-def edge(tmp_path: Path) -> Iterator[Edge]:
-    started = Edge(tmp_path)
-    yield started
-    started.stop()
+def edge(tmp_path: Path) -> Iterator[MultiWorkerEdge]:
+    edge = MultiWorkerEdge(tmp_path)
+    yield edge
+    edge.stop()
 
 
-def test_killed_worker_is_replaced_and_its_clients_go_on_elsewhere(edge: Edge) -> None:
-    clients = Clients(edge.address, 6)
+def test_killed_worker_is_replaced_and_its_clients_use_other_workers(edge: MultiWorkerEdge) -> None:
+    clients = ContinuousClients(edge.address, 6)
     try:
-        clients.settle()
+        clients.wait_for_progress()
         assert len(edge.pids()) == WORKERS
         os.kill(edge.pids()[0], signal.SIGKILL)
-        clients.settle()
-        edge.reach("juniperreel_workers_replaced", 1.0)
-        edge.reach('juniperreel_workers{phase="serving"}', float(WORKERS))
-        clients.settle()
-        # Only what the dead one held was lost, and grpcio says so at once.
+        clients.wait_for_progress()
+        edge.wait_for_metric("juniperreel_workers_replaced", 1.0)
+        edge.wait_for_metric('juniperreel_workers{phase="serving"}', float(WORKERS))
+        clients.wait_for_progress()
+        # Only requests in flight at the killed worker fail, and grpcio reports them immediately.
         assert len(clients.failed) <= 6
         assert all(e.code() is grpc.StatusCode.UNAVAILABLE for e in clients.failed)
     finally:
         clients.stop()
 
 
-def test_reload_and_shutdown_lose_no_request_in_flight(edge: Edge) -> None:
-    clients = Clients(edge.address, 6)
+def test_reload_and_shutdown_lose_no_request_in_flight(edge: MultiWorkerEdge) -> None:
+    clients = ContinuousClients(edge.address, 6)
     try:
-        clients.settle()
-        conf = edge.folder / "edge.conf"
-        good = conf.read_text()
-        conf.write_text(good.replace("attempts 6", "attempts none"))
-        edge.edge.send_signal(signal.SIGHUP)
+        clients.wait_for_progress()
+        settings_path = edge.folder / "edge.conf"
+        valid_settings = settings_path.read_text()
+        settings_path.write_text(valid_settings.replace("attempts 6", "attempts none"))
+        edge.edge_process.send_signal(signal.SIGHUP)
         error = edge.wait_for_event("configuration reload rejected")["error"]
         assert ("attempts" in error and "line" in error) or ":" in error
-        conf.write_text(good.replace("listen 127.0.0.1:0", "listen 127.0.0.1:1"))
-        edge.edge.send_signal(signal.SIGHUP)
+        settings_path.write_text(valid_settings.replace("listen 127.0.0.1:0", "listen 127.0.0.1:1"))
+        edge.edge_process.send_signal(signal.SIGHUP)
         assert "needs a restart" in edge.wait_for_event("configuration reload rejected")["error"]
-        clients.settle()
-        conf.write_text(good.replace(f"workers {WORKERS}", "workers 2"))
-        edge.edge.send_signal(signal.SIGHUP)
+        clients.wait_for_progress()
+        settings_path.write_text(valid_settings.replace(f"workers {WORKERS}", "workers 2"))
+        edge.edge_process.send_signal(signal.SIGHUP)
         assert edge.wait_for_event("configuration reloaded")["workers"] == 2
         for _ in range(WORKERS):
             edge.wait_for_event("shutdown complete")
-        edge.reach('juniperreel_workers{phase="serving"}', 2.0)
-        clients.settle()
+        edge.wait_for_metric('juniperreel_workers{phase="serving"}', 2.0)
+        clients.wait_for_progress()
         assert clients.failed == []
         served = sum(clients.served)
     finally:
         clients.stop()
-    assert edge.metric("juniperreel_requests_total") >= served, "what workers that are gone did still counts"
-    edge.edge.send_signal(signal.SIGTERM)
-    assert edge.edge.wait(30) == 0
+    assert edge.metric("juniperreel_requests_total") >= served, "counters of exited workers are retained"
+    edge.edge_process.send_signal(signal.SIGTERM)
+    assert edge.edge_process.wait(30) == 0
 
 
-def test_frozen_worker_does_not_disturb_clients_of_the_others(edge: Edge) -> None:
-    clients = Clients(edge.address, 6)
+def test_stopped_worker_does_not_affect_clients_of_others(edge: MultiWorkerEdge) -> None:
+    clients = ContinuousClients(edge.address, 6)
     try:
-        clients.settle()
+        clients.wait_for_progress()
         os.kill(edge.pids()[0], signal.SIGSTOP)
         try:
-            before = list(clients.served)
-            end = time.monotonic() + SECONDS
-            while sum(now >= then + 5 for now, then in zip(clients.served, before, strict=True)) < 4:
-                assert time.monotonic() < end, "those of the other two workers go on"
+            counts_before = list(clients.served)
+            deadline = time.monotonic() + TIMEOUT_S
+            while (
+                sum(
+                    count >= count_before + 5
+                    for count, count_before in zip(clients.served, counts_before, strict=True)
+                )
+                < 4
+            ):
+                assert time.monotonic() < deadline, "clients of the other two workers are still served"
                 time.sleep(0.02)
         finally:
             os.kill(edge.pids()[0], signal.SIGCONT)
-        clients.settle()
-        assert clients.failed == [], "it was away for less than their deadline"
+        clients.wait_for_progress()
+        assert clients.failed == [], "the worker was stopped for less than the clients' deadline"
     finally:
         clients.stop()
 
 
-def test_workers_end_after_their_parent_was_killed(edge: Edge) -> None:
+def test_workers_exit_after_their_parent_is_killed(edge: MultiWorkerEdge) -> None:
     pids = edge.pids()
-    edge.edge.kill()
-    end = time.monotonic() + SECONDS
-    while any(Path(f"/proc/{pid}/stat").exists() and not zombie(pid) for pid in pids):
-        assert time.monotonic() < end
+    edge.edge_process.kill()
+    deadline = time.monotonic() + TIMEOUT_S
+    while any(Path(f"/proc/{pid}/stat").exists() and not is_zombie(pid) for pid in pids):
+        assert time.monotonic() < deadline
         time.sleep(0.05)
 
 
-def zombie(pid: int) -> bool:
+def is_zombie(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
     except OSError:
