--- a/juniperreel/cli/load.py
+++ b/juniperreel/cli/load.py
@@ -107,13 +107,17 @@
 
     Raises ValueError if the file is not a valid result.
     """
-    from juniperreel.load.report import plots
-    from juniperreel.load.summary import load_result, table, usage_lines
+    from juniperreel.load.report import draw_plots
+    from juniperreel.load.summary import format_table, load_result, usage_lines
     from juniperreel.verification.history import History
     from juniperreel.verification.responses import check_responses
 
     result = load_result(path)
-    for line in (*table(result.stages()), *_class_and_tenant_rows(result), *_failure_reason_lines(result)):
+    for line in (
+        *format_table(result.stages()),
+        *_class_and_tenant_rows(result),
+        *_failure_reason_lines(result),
+    ):
         click.echo(line)
     for line in usage_lines(result):
         click.echo(line)
@@ -121,23 +125,23 @@
     verdict = f"BROKEN {len(violations)} times; first: {violations[0].text}" if violations else "held"
     click.echo(f"rule 1, from the clients' side: {verdict}")
     if plot is not None:
-        plots({path.stem: result}, plot)
+        draw_plots({path.stem: result}, plot)
     return RULE_VIOLATED_STATUS if violations else 0
 
 
 def _class_and_tenant_rows(result: Result) -> Iterator[str]:
     """Yield table rows by class and by tenant over the whole plan, if it has more than one of them."""
-    from juniperreel.load.summary import table
+    from juniperreel.load.summary import format_table
 
-    span_us = result.plan.span_us
+    duration_us = result.plan.duration_us
     class_names = [request_class.name for request_class in result.plan.classes]
     tenant_names = [tenant.name for tenant in result.plan.tenants]
-    by_class = result.count_by(lambda attempt: attempt.cls, lambda _: span_us)
-    by_tenant = result.count_by(lambda attempt: attempt.tenant, lambda _: span_us)
+    by_class = result.count_by(lambda attempt: attempt.cls, lambda _: duration_us)
+    by_tenant = result.count_by(lambda attempt: attempt.tenant, lambda _: duration_us)
     for names, counts in ((class_names, by_class), (tenant_names, by_tenant)):
         if len(names) > 1:
             rows = {names[number]: count for number, count in sorted(counts.items(), key=str)}
-            yield from table(rows)[1:]
+            yield from format_table(rows)[1:]
 
 
 def _failure_reason_lines(result: Result) -> Iterator[str]:
@@ -166,8 +170,8 @@
 @click.option("--plot", type=OUTPUT_FILE, help="Draw them into this PNG.")
 def compare(results: tuple[Path, ...], plot: Path | None) -> None:
     """Set RESULTS side by side, stage by stage."""
-    from juniperreel.load.report import plots
-    from juniperreel.load.summary import load_result, table
+    from juniperreel.load.report import draw_plots
+    from juniperreel.load.summary import format_table, load_result
 
     try:
         by_path = {str(path): load_result(path) for path in results}
@@ -178,7 +182,7 @@
     for stage in dict.fromkeys(stage for counts in stages.values() for stage in counts):
         click.echo(stage)
         rows = {Path(path).stem: counts[stage] for path, counts in stages.items() if stage in counts}
-        for line in table(rows):
+        for line in format_table(rows):
             click.echo("  " + line)
     if plot is not None:
-        plots({Path(path).stem: result for path, result in by_path.items()}, plot)
+        draw_plots({Path(path).stem: result for path, result in by_path.items()}, plot)
--- a/juniperreel/load/__init__.py
+++ b/juniperreel/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: plans, clients, results and reports. Knows the service's protocol, never the edge's code."""
+"""The load generator: plans, clients, results and reports. Knows the protocol, not the edge's code."""
--- a/juniperreel/load/plan.py
+++ b/juniperreel/load/plan.py
@@ -1,4 +1,4 @@
-"""What a load run asks, and when: the plan's file.
+"""The plan of a load run: its file format and parser.
 
     [load]
     target 127.0.0.1:7100
@@ -13,7 +13,7 @@
     rate 200
     for 6s
 
-`arrivals.py` draws the requests from it.
+`arrivals.py` generates the requests from it.
 """
 
 from __future__ import annotations
@@ -35,25 +35,25 @@
     parse_percentage,
 )
 
-# What clients do after a rejection: nothing; retry at once; retry after the wait that they were given.
-PATIENT = "patient"
-NAIVE = "naive"
-HONOURS = "honours"
-BEHAVIOURS = (PATIENT, NAIVE, HONOURS)
+# Client behaviour after a rejection: no retry, an immediate retry, or a retry after the given delay.
+NO_RETRY = "patient"
+IMMEDIATE_RETRY = "naive"
+HONOUR_RETRY_AFTER = "honours"
+BEHAVIOURS = (NO_RETRY, IMMEDIATE_RETRY, HONOUR_RETRY_AFTER)
 
-KINDS = {
+SECTIONS = {
     "load": SectionSpec(
         {
             "target": DirectiveSpec((parse_address,), repeated=True),
             "groups": single(parse_integer, 1),
             "sessions": single(parse_integer, 100),
-            "skew": single(parse_number, 0.0),  # of sessions, as Zipf's exponent; 0 asks all alike
+            "skew": single(parse_number, 0.0),  # Zipf exponent of the session popularity; 0 is uniform
             "seed": single(parse_integer, 1),
             "processes": single(parse_integer, 2),
-            "channels": single(parse_integer, 8),  # connections of each process to each target
-            "behaviour": single(one_of(*BEHAVIOURS), PATIENT),
+            "channels": single(parse_integer, 8),  # connections per process and target
+            "behaviour": single(one_of(*BEHAVIOURS), NO_RETRY),
             "retries": single(parse_integer, 3),
-            "headers": single(parse_flag, False),  # class, tenant and group also as metadata
+            "headers": single(parse_flag, False),  # send class, tenant and group also as metadata
         }
     ),
     "class": SectionSpec(
@@ -72,28 +72,29 @@
     "stage": SectionSpec(
         {
             "rate": single(parse_number, 0.0),
-            "to": single(parse_number, -1.0),  # the rate at its end, for a ramp
-            "burst": single(parse_integer, 0),  # all at the stage's start
-            "closed": single(parse_integer, 0),  # clients that each wait for their answer
+            "to": single(parse_number, -1.0),  # the rate at the end of a ramp
+            "burst": single(parse_integer, 0),  # requests sent at once at the start
+            "closed": single(parse_integer, 0),  # number of closed-loop clients
             "for": single(parse_duration),
         },
         named=True,
     ),
 }
-READ = "select id from runs where runner = ? order by number desc limit 40 /* rid {} */"
-WRITE = "insert into runs (runner, id) values (?, ?) /* rid {} */"
-SAME_RATE = 0  # a stage whose `to` is below has its rate to the end
+DEFAULT_READ_STATEMENT = "select id from runs where runner = ? order by number desc limit 40 /* rid {} */"
+DEFAULT_WRITE_STATEMENT = "insert into runs (runner, id) values (?, ?) /* rid {} */"
+MIN_END_RATE = 0  # a stage whose `to` is below this keeps a constant rate
 
 
 @dataclass(frozen=True, slots=True)
 class LoadClass:
-    """A request class, with its part of the load.
+    """A request class and its share of the load.
 
-    A response in time earns `priority_weight`, a later one that times `late_priority_weight`.
+    A response within the latency objective earns `priority_weight`, and a late one that weight multiplied by
+    `late_priority_weight`.
     """
 
     name: str
-    part: float
+    share: float
     deadline_us: int
     writes: bool
     statement: str
@@ -103,23 +104,24 @@
 
 
 class LoadTenant(NamedTuple):
-    """A tenant, with its part of the load."""
+    """A tenant and its share of the load."""
 
     name: str
-    part: float
+    share: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A span of the run with one kind of arrivals.
+    """A period of the run with its own arrival process.
 
-    `start_us` counts from the run's start. Rates are requests a second; `burst` requests come at once at the
-    start; `closed_clients` each wait for their answers.
+    `start_us` counts from the start of the run. Rates are in requests per second, changing linearly from
+    `rate` to `end_rate`; `burst` requests are sent at once at the start; each of `closed_clients` sends its
+    next request after the previous response.
     """
 
     name: str
     start_us: int
-    span_us: int
+    duration_us: int
     rate: float
     end_rate: float
     burst: int
@@ -128,10 +130,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A whole plan. `channels` are connections of each process to each target.
+    """A complete plan.
 
-    `skew` is Zipf's exponent over sessions (0: all ask alike); `headers`: class, tenant and group are sent as
-    metadata as well.
+    `channels` is the number of connections per process and target; `skew` is the Zipf exponent of the session
+    popularity (0 is uniform); with `headers`, class, tenant and group are also sent as metadata.
     """
 
     targets: tuple[tuple[str, int], ...]
@@ -149,30 +151,30 @@
     stages: tuple[Stage, ...]
 
     @property
-    def span_us(self) -> int:
-        """From the run's start to the last stage's end."""
-        return self.stages[-1].start_us + self.stages[-1].span_us
+    def duration_us(self) -> int:
+        """The time from the start of the run to the end of the last stage."""
+        return self.stages[-1].start_us + self.stages[-1].duration_us
 
     @property
     def longest_deadline_us(self) -> int:
-        """Of all classes."""
+        """The longest deadline of all classes."""
         return max(load_class.deadline_us for load_class in self.classes)
 
 
 def read_plan(path: Path) -> Plan:
-    """Raises SettingsError with every problem, or OSError."""
+    """Read a plan file. Raises SettingsError with every problem, or OSError."""
     return parse_plan(path.read_bytes(), str(path))
 
 
 def parse_plan(data: bytes, file: str) -> Plan:
-    """Read a plan's text. Raises SettingsError, which names `file`, with every problem."""
-    sections, problems = lex(data)
-    found = read_sections(sections, KINDS, problems)
+    """Parse a plan. Raises SettingsError with every problem; `file` is the name used in messages."""
+    raw_sections, problems = lex(data)
+    sections_by_kind = read_sections(raw_sections, SECTIONS, problems)
     if not problems:
-        check(found, problems)
+        validate(sections_by_kind, problems)
     if problems:
         raise SettingsError(file, problems)
-    load = found["load"][0]
+    load = sections_by_kind["load"][0]
     return Plan(
         targets=tuple(load["target"]),
         groups=load["groups"],
@@ -184,66 +186,66 @@
         behaviour=load["behaviour"],
         retries=load["retries"],
         headers=load["headers"],
-        classes=tuple(_load_class(section) for section in found["class"]),
-        tenants=tuple(LoadTenant(section.name, section["part"]) for section in found["tenant"]),
-        stages=_stages(found["stage"]),
+        classes=tuple(_parse_class(section) for section in sections_by_kind["class"]),
+        tenants=tuple(LoadTenant(section.name, section["part"]) for section in sections_by_kind["tenant"]),
+        stages=_parse_stages(sections_by_kind["stage"]),
     )
 
 
-def _load_class(section: SectionValues) -> LoadClass:
+def _parse_class(section: SectionValues) -> LoadClass:
     writes = section["does"] == "write"
     return LoadClass(
         section.name,
         section["part"],
         section["deadline"],
         writes,
-        section["statement"] or (WRITE if writes else READ),
+        section["statement"] or (DEFAULT_WRITE_STATEMENT if writes else DEFAULT_READ_STATEMENT),
         section["worth"],
         section["aim"] or section["deadline"],
         section["late-worth"],
     )
 
 
-def _stages(sections: list[SectionValues]) -> tuple[Stage, ...]:
+def _parse_stages(sections: list[SectionValues]) -> tuple[Stage, ...]:
     stages = []
     start_us = 0
     for section in sections:
         rate = section["rate"]
-        end_rate = rate if section["to"] < SAME_RATE else section["to"]
-        span_us = section["for"]
+        end_rate = rate if section["to"] < MIN_END_RATE else section["to"]
+        duration_us = section["for"]
         stages.append(
-            Stage(section.name, start_us, span_us, rate, end_rate, section["burst"], section["closed"])
+            Stage(section.name, start_us, duration_us, rate, end_rate, section["burst"], section["closed"])
         )
-        start_us += span_us
+        start_us += duration_us
     return tuple(stages)
 
 
-def check(found: dict[str, list[SectionValues]], problems: list[Problem]) -> None:
-    """Add what is wrong with sections that can be read each by itself."""
-    load = found["load"][0]
-    counts = ("groups", "sessions", "processes", "channels")
-    problems += [_problem(load, name, "at least one") for name in counts if load[name] < 1]
-    if not found["stage"]:
-        problems.append(Problem(1, "no stage: nothing would be asked"))
-    for stage in found["stage"]:
-        _check_stage(stage, problems)
+def validate(sections_by_kind: dict[str, list[SectionValues]], problems: list[Problem]) -> None:
+    """Append the problems of sections that are well-formed individually."""
+    load = sections_by_kind["load"][0]
+    count_directives = ("groups", "sessions", "processes", "channels")
+    problems += [_problem(load, name, "must be at least 1") for name in count_directives if load[name] < 1]
+    if not sections_by_kind["stage"]:
+        problems.append(Problem(1, "the plan has no stage"))
+    for stage in sections_by_kind["stage"]:
+        _validate_stage(stage, problems)
     problems += [
-        _problem(found[kind][0], "part", f"no {kind} has a part of the load")
+        _problem(sections_by_kind[kind][0], "part", f"no {kind} has a share of the load above 0")
         for kind in ("class", "tenant")
-        if found[kind] and not sum(section["part"] for section in found[kind])
+        if sections_by_kind[kind] and not sum(section["part"] for section in sections_by_kind[kind])
     ]
     problems += [
         _problem(section, "deadline", "must be above 0")
-        for section in found["class"]
+        for section in sections_by_kind["class"]
         if not section["deadline"]
     ]
 
 
-def _check_stage(stage: SectionValues, problems: list[Problem]) -> None:
+def _validate_stage(stage: SectionValues, problems: list[Problem]) -> None:
     has_rate = stage["rate"] > 0 or stage["to"] > 0
     has_burst = stage["burst"] > 0
     if stage["closed"] > 0 and (has_rate or has_burst):
-        problems.append(_problem(stage, "closed", "a closed loop has no rate and no burst"))
+        problems.append(_problem(stage, "closed", "a closed-loop stage cannot have a rate or a burst"))
     if not stage["for"]:
         problems.append(_problem(stage, "for", "must be above 0"))
 
--- a/juniperreel/load/report.py
+++ b/juniperreel/load/report.py
@@ -1,4 +1,4 @@
-"""Plots of one result, or of several beside each other."""
+"""Plots of one or more load results."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 DOTS_PER_INCH = 90
 
 
-class SecondOf(NamedTuple):
-    """One class's or tenant's requests in one second of the run."""
+class NumberAndSecond(NamedTuple):
+    """Groups requests by class or tenant number and by second of the run."""
 
     number: int
     second: int
 
 
-def plots(results: dict[str, Result], out: Path) -> None:
-    """Draw results into a PNG.
+def draw_plots(results: dict[str, Result], out: Path) -> None:
+    """Draw results into a PNG file.
 
-    Above, goodput and latency over offered load, of stages with a rate; below, by class and by tenant over
-    time, of the first result.
+    The upper plots show goodput and latency over offered load, for the stages that only have a rate; the
+    lower ones show the first result over time, by class and by tenant.
     """
     import matplotlib
 
@@ -33,15 +33,15 @@
 
     figure, axes = pyplot.subplots(2, 2, figsize=(WIDTH_INCHES, HEIGHT_INCHES))
     goodput, latency, classes, tenants = axes.flat
-    highest_rate = 1.0
+    peak_rate = 1.0
     for name, result in results.items():
         stages = _steady_stages(result)
         _plot_goodput(goodput, name, stages)
         _plot_latency(latency, name, stages)
-        highest_rate = max(highest_rate, *(stage.per_second(stage.served) for stage in stages), 1.0)
-    _label(goodput, "offered a second", "requests a second (cut at twice the most that was served)")
-    goodput.set_ylim(0, 2 * highest_rate)
-    _label(latency, "offered a second", "milliseconds from the intended start")
+        peak_rate = max(peak_rate, *(stage.per_second(stage.served) for stage in stages), 1.0)
+    _label_axes(goodput, "offered requests/s", "requests/s (axis limited to twice the peak served rate)")
+    goodput.set_ylim(0, 2 * peak_rate)
+    _label_axes(latency, "offered requests/s", "latency from the due time (ms)")
     first = next(iter(results.values()))
     class_names = {number: load_class.name for number, load_class in enumerate(first.plan.classes)}
     tenant_names = {number: tenant.name for number, tenant in enumerate(first.plan.tenants)} or {-1: "all"}
@@ -53,10 +53,10 @@
 
 
 def _steady_stages(result: Result) -> list[LoadCount]:
-    """Counts of the stages with a rate alone, by rising load."""
+    """Return the counts of the stages that only have a rate, by ascending offered load."""
     steady = {stage.name for stage in result.plan.stages if not stage.burst and not stage.closed_clients}
     counts = [count for name, count in result.stages().items() if count.offered and name in steady]
-    return sorted(counts, key=lambda count: count.offered / max(count.span_us, 1))
+    return sorted(counts, key=lambda count: count.offered / max(count.duration_us, 1))
 
 
 def _plot_goodput(axis: Any, name: str, stages: list[LoadCount]) -> None:
@@ -70,29 +70,30 @@
 def _plot_latency(axis: Any, name: str, stages: list[LoadCount]) -> None:
     offered = [stage.per_second(stage.offered) for stage in stages]
     medians = [stage.response_percentile_ms(50) for stage in stages]
-    tails = [stage.response_percentile_ms(99) for stage in stages]
+    p99s = [stage.response_percentile_ms(99) for stage in stages]
     rejections = [stage.rejection_percentile_ms(99) for stage in stages]
     axis.plot(offered, medians, marker="o", label=f"{name}: p50 served")
-    axis.plot(offered, tails, ls="--", marker="o", label=f"{name}: p99 served")
+    axis.plot(offered, p99s, ls="--", marker="o", label=f"{name}: p99 served")
     axis.plot(offered, rejections, ls=":", marker="x", label=f"{name}: p99 refused")
 
 
 def _plot_over_time(axis: Any, result: Result, names: dict[int, str], kind: str) -> None:
-    """`kind` is the attribute of attempts that `names` are by."""
+    """Plot the entries of `names`, whose keys are values of the attribute `kind` of attempts."""
     counts = result.count_by(
-        lambda attempt: SecondOf(getattr(attempt, kind), attempt.due_us // SECOND_US), lambda _: SECOND_US
+        lambda attempt: NumberAndSecond(getattr(attempt, kind), attempt.due_us // SECOND_US),
+        lambda _: SECOND_US,
     )
     for number, name in names.items():
         seconds = sorted(part.second for part in counts if part.number == number)
-        of_name = [counts[SecondOf(number, second)] for second in seconds]
-        axis.plot(seconds, [count.offered for count in of_name], ls=":", label=f"{name} offered")
-        axis.plot(seconds, [count.served for count in of_name], ls="-", label=f"{name} served")
-    _label(axis, "seconds", f"a second, by {kind}")
+        counts_by_second = [counts[NumberAndSecond(number, second)] for second in seconds]
+        axis.plot(seconds, [count.offered for count in counts_by_second], ls=":", label=f"{name} offered")
+        axis.plot(seconds, [count.served for count in counts_by_second], ls="-", label=f"{name} served")
+    _label_axes(axis, "seconds", f"requests/s by {kind}")
 
 
-def _label(axis: Any, horizontal: str, vertical: str) -> None:
-    axis.set_xlabel(horizontal)
-    axis.set_ylabel(vertical)
+def _label_axes(axis: Any, x_label: str, y_label: str) -> None:
+    axis.set_xlabel(x_label)
+    axis.set_ylabel(y_label)
     axis.set_ylim(bottom=0)
     axis.grid(alpha=0.3)
     axis.legend(fontsize=7)
--- a/juniperreel/load/result_file.py
+++ b/juniperreel/load/result_file.py
@@ -1,6 +1,6 @@
-"""The result of a load run as a file: what became of each attempt, a JSON line each.
+"""The file format of load results: one JSON line per attempt.
 
-Results are kept: a field that is renamed here keeps its name in the file, and a type its tag.
+Stored results must remain readable: renamed fields keep their name in the file, and types their tag.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 import msgspec
 
-LOCAL_STATUS = 4  # gRPC's DEADLINE_EXCEEDED, which a client's own deadline looks like
+CLIENT_DEADLINE_STATUS = 4  # gRPC's DEADLINE_EXCEEDED, also reported when the client's own deadline expires
 REJECTED_STATUSES = (8, 14)  # gRPC's RESOURCE_EXHAUSTED and UNAVAILABLE
 
 
 class RunStart(msgspec.Struct, frozen=True, tag="Start", omit_defaults=True, rename={"at_us": "at"}):
-    """The run: its start on the Unix epoch, and the plan's text."""
+    """The run's start as Unix time, and the text of its plan."""
 
     at_us: int
     plan: str
@@ -35,12 +35,12 @@
 
 
 class Attempt(msgspec.Struct, frozen=True, tag="Shot", omit_defaults=True, rename=ATTEMPT_NAMES):
-    """One attempt at a request. Times count from the run's start.
+    """One attempt at a request. Times count from the start of the run.
 
-    `due_us` is when it was to be sent, `sent_us` when it was, and `took_us` counts from the first of them to
-    the answer. `attempt` is 0 for a request's first; `cls`, `stage` and `tenant` are places in the plan,
-    `tenant` -1 where it has none. `local`: the client made the status up, since its edge said nothing.
-    `edge_attempts` are those that the edge made.
+    `due_us` is the scheduled and `sent_us` the actual send time; `took_us` is the time from `due_us` to the
+    response. `attempt` is 0 for the first attempt at a request; `cls`, `stage` and `tenant` are indexes into
+    the plan, with a `tenant` of -1 if it has none. `local` marks a status that the client generated because
+    it received none from the edge. `edge_attempts` is the number of attempts made by the edge.
     """
 
     due_us: int
@@ -54,7 +54,7 @@
     session: int
     status: int
     local: bool = False
-    retry_after_ms: int = 0  # negative: not to be sent again
+    retry_after_ms: int = 0  # negative: must not be retried
     edge_attempts: int = 0
     reason: str = ""
 
@@ -63,10 +63,10 @@
 
 
 class ProcessUsage(msgspec.Struct, frozen=True, tag="Side", omit_defaults=True, rename=USAGE_NAMES):
-    """What one process of the run spent in one second: which side was at its limit is seen from this.
+    """The resource usage of one process in one second, which shows the side that limited the run.
 
-    `second` counts from the run's start; `cpu` is of one core; `lag_us` is by how much a client's own event
-    loop was late at most.
+    `second` counts from the start of the run; `cpu` is a fraction of one core; `lag_us` is the longest delay
+    with which a client sent a request after it was due.
     """
 
     second: int
@@ -78,13 +78,13 @@
     rejected: int = 0
 
 
-Line = RunStart | Attempt | ProcessUsage
+ResultLine = RunStart | Attempt | ProcessUsage
 ENCODER = msgspec.json.Encoder()
 
 
-def read_result(path: Path) -> Iterator[Line]:
-    """Yield the lines of a result. Raises OSError, and ValueError with the number of a line that is none."""
-    decoder = msgspec.json.Decoder(Line)
+def read_result(path: Path) -> Iterator[ResultLine]:
+    """Yield the lines of a result. Raises OSError, or ValueError with the number of an invalid line."""
+    decoder = msgspec.json.Decoder(ResultLine)
     with path.open("rb") as lines:
         for number, line in enumerate(lines, 1):
             try:
--- a/juniperreel/load/summary.py
+++ b/juniperreel/load/summary.py
@@ -1,4 +1,4 @@
-"""A result in figures: by stage, by class, by tenant, over time; and rule 1 as the clients saw it."""
+"""Statistics of a load result by stage, class, tenant and time, and its records for the rule checkers."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from juniperreel.verification import records as rec
 
 SECOND_US = 1_000_000
-# Times of the histograms: microseconds, and significant digits.
-LOWEST_US = 1
-HIGHEST_US = 120_000_000
-DIGITS = 3
-FULL_CPU = 0.95  # of a core: a client that spends more may be what was measured
+# Range of the latency histograms in microseconds, and their precision.
+HISTOGRAM_MIN_US = 1
+HISTOGRAM_MAX_US = 120_000_000
+HISTOGRAM_SIGNIFICANT_DIGITS = 3
+SATURATED_CPU = 0.95  # of a core: above this, the client itself may have limited the run
 Key = TypeVar("Key", bound=Hashable)
 COLUMNS = (
     "offered/s",
@@ -36,11 +36,11 @@
 
 
 def make_histogram() -> HdrHistogram:
-    """A histogram of times in microseconds."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return an empty histogram of times in microseconds."""
+    return HdrHistogram(HISTOGRAM_MIN_US, HISTOGRAM_MAX_US, HISTOGRAM_SIGNIFICANT_DIGITS)
 
 
-class FinalAttempts(NamedTuple):
+class RequestAttempts(NamedTuple):
     """A request's first and last attempt."""
 
     first: Attempt
@@ -48,19 +48,19 @@
 
     @property
     def took_us(self) -> int:
-        """From when the first was due to the last one's answer."""
+        """The time from the first attempt's due time to the last attempt's response."""
         return max(self.last.due_us + self.last.took_us - self.first.due_us, 1)
 
 
 @dataclass(slots=True)
 class LoadCount:
-    """Requests of one part of a run, each counted once by its last attempt; `attempts` counts all.
+    """Counts of a group of requests by the outcome of their last attempt; `attempts` counts all attempts.
 
-    `unanswered` are those past the client's deadline without an answer. The weights are those of the
-    requests' classes, earned by responses and offered by requests.
+    `unanswered` counts requests whose client deadline expired without a response. The weights are the
+    priority weights of the requests' classes: offered by each request, and earned by responses.
     """
 
-    span_us: int = 0
+    duration_us: int = 0
     offered: int = 0
     attempts: int = 0
     served: int = 0
@@ -74,23 +74,23 @@
     reasons: Counter[str] = field(default_factory=Counter)
 
     def per_second(self, count: int) -> float:
-        """One of the counts as a rate over the part's span."""
-        return float(count) / max(self.span_us, 1) * SECOND_US
+        """Convert a count to a rate over the group's duration."""
+        return float(count) / max(self.duration_us, 1) * SECOND_US
 
     @property
     def weight_share(self) -> float:
-        """Weight earned over weight offered; 0 where nothing was offered."""
+        """Weight earned over weight offered; 0 if nothing was offered."""
         return self.weight_earned / self.weight_offered if self.weight_offered else 0.0
 
     def response_percentile_ms(self, percent: float) -> float:
-        """Of requests that were served."""
+        """Return a percentile of the latency of served requests."""
         return float(self.response_times.get_value_at_percentile(percent)) / 1000
 
     def rejection_percentile_ms(self, percent: float) -> float:
-        """Of last attempts that were rejected."""
+        """Return a percentile of the latency of rejected last attempts."""
         return float(self.rejection_times.get_value_at_percentile(percent)) / 1000
 
-    def add(self, request: FinalAttempts, load_class: LoadClass) -> None:
+    def add(self, request: RequestAttempts, load_class: LoadClass) -> None:
         """Count one request."""
         self.offered += 1
         self.attempts += request.last.attempt + 1
@@ -102,7 +102,7 @@
             self.unanswered += 1
         elif request.last.status in REJECTED_STATUSES:
             self.rejected += 1
-            self.rejection_times.record_value(min(max(request.last.took_us, 1), HIGHEST_US))
+            self.rejection_times.record_value(min(max(request.last.took_us, 1), HISTOGRAM_MAX_US))
         else:
             self.failed += 1
         self.reasons[request.last.reason] += 1
@@ -113,20 +113,20 @@
         self.weight_earned += load_class.priority_weight * (
             1.0 if in_time else load_class.late_priority_weight
         )
-        self.response_times.record_value(min(took_us, HIGHEST_US))
+        self.response_times.record_value(min(took_us, HISTOGRAM_MAX_US))
 
 
 @dataclass(slots=True)
 class Result:
-    """A run read back. `start_us` is on the Unix epoch."""
+    """The result of a run. `start_us` is a Unix time."""
 
     plan: Plan
     start_us: int
     attempts: list[Attempt]
     usage: list[ProcessUsage]
 
-    def requests(self) -> list[FinalAttempts]:
-        """All requests, in the order of their first attempts."""
+    def requests(self) -> list[RequestAttempts]:
+        """Return all requests in the order of their first attempts."""
         first: dict[int, Attempt] = {}
         last: dict[int, Attempt] = {}
         for attempt in self.attempts:
@@ -135,35 +135,37 @@
                 first[request] = attempt
             if request not in last or attempt.attempt > last[request].attempt:
                 last[request] = attempt
-        return [FinalAttempts(attempt, last[request]) for request, attempt in first.items()]
+        return [RequestAttempts(attempt, last[request]) for request, attempt in first.items()]
 
-    def count_by(self, key: Callable[[Attempt], Key], span_us: Callable[[Key], int]) -> dict[Key, LoadCount]:
-        """Count requests by what `key` makes of their first attempts; `span_us` is each part's length."""
+    def count_by(
+        self, key: Callable[[Attempt], Key], duration_us: Callable[[Key], int]
+    ) -> dict[Key, LoadCount]:
+        """Count requests grouped by `key` of their first attempt; `duration_us` gives a group's duration."""
         counts: dict[Key, LoadCount] = {}
         for request in self.requests():
-            part = key(request.first)
-            count = counts.get(part)
+            group_key = key(request.first)
+            count = counts.get(group_key)
             if count is None:
-                count = LoadCount(span_us(part))
-                counts[part] = count
+                count = LoadCount(duration_us(group_key))
+                counts[group_key] = count
             count.add(request, self.plan.classes[request.first.cls])
         return counts
 
     def stages(self) -> dict[str, LoadCount]:
-        """Counts by stage, in the plan's order."""
-        counts = self.count_by(lambda attempt: attempt.stage, lambda n: self.plan.stages[n].span_us)
+        """Return the counts by stage, in the order of the plan."""
+        counts = self.count_by(lambda attempt: attempt.stage, lambda n: self.plan.stages[n].duration_us)
         return {
-            stage.name: counts.get(number, LoadCount(stage.span_us))
+            stage.name: counts.get(number, LoadCount(stage.duration_us))
             for number, stage in enumerate(self.plan.stages)
         }
 
     def records(self) -> Iterator[rec.Record]:
-        """The run as records that the checkers of `verification` judge."""
+        """Yield the run as records for the checkers of `juniperreel.verification`."""
         for load_class in self.plan.classes:
             yield _class_record(load_class)
         for attempt in self.attempts:
             yield self._request_record(attempt)
-            yield self._answer_record(attempt)
+            yield self._response_record(attempt)
 
     def _request_record(self, attempt: Attempt) -> rec.RequestSent:
         load_class = self.plan.classes[attempt.cls]
@@ -181,7 +183,7 @@
             sent_us + load_class.deadline_us,
         )
 
-    def _answer_record(self, attempt: Attempt) -> rec.ResponseReceived:
+    def _response_record(self, attempt: Attempt) -> rec.ResponseReceived:
         return rec.ResponseReceived(
             self.start_us + attempt.due_us + attempt.took_us,
             str(attempt.request),
@@ -208,7 +210,7 @@
 
 
 def load_result(path: Path) -> Result:
-    """Read a result. Raises OSError, and ValueError for a file that is none."""
+    """Read a result. Raises OSError, or ValueError if the file is not a valid result."""
     start: RunStart | None = None
     attempts: list[Attempt] = []
     usage: list[ProcessUsage] = []
@@ -220,12 +222,12 @@
         else:
             usage.append(line)
     if start is None:
-        raise ValueError(f"{path}: does not begin as a result does")
+        raise ValueError(f"{path}: no start record, not a load result")
     return Result(parse_plan(start.plan.encode(), str(path)), start.at_us, attempts, usage)
 
 
-def table(rows: dict[str, LoadCount]) -> list[str]:
-    """A line of headings and a line for each row, with the values of COLUMNS."""
+def format_table(rows: dict[str, LoadCount]) -> list[str]:
+    """Format a header and one line per row, with the values of COLUMNS."""
     lines = [f"{'':<14}" + "".join(f"{column:>11}" for column in COLUMNS)]
     for name, count in rows.items():
         lines.append(f"{name:<14}" + "".join(f"{cell:>11}" for cell in _cells(count)))
@@ -245,19 +247,21 @@
 
 
 def usage_lines(result: Result) -> list[str]:
-    """For each process, its mean and highest CPU: a side at one core is what was at its limit."""
-    cpus_by_name: dict[str, list[float]] = defaultdict(list)
+    """Format each process's mean and peak CPU usage; a process near one core limited the run."""
+    cpu_by_name: dict[str, list[float]] = defaultdict(list)
     lags_us: Counter[str] = Counter()
     for usage in result.usage:
-        cpus_by_name[usage.name].append(usage.cpu)
+        cpu_by_name[usage.name].append(usage.cpu)
         lags_us[usage.name] = max(lags_us[usage.name], usage.lag_us)
-    return [_usage_line(name, cpus, lags_us[name]) for name, cpus in sorted(cpus_by_name.items())]
+    return [
+        _usage_line(name, cpu_by_second, lags_us[name]) for name, cpu_by_second in sorted(cpu_by_name.items())
+    ]
 
 
 def _usage_line(name: str, cpus: list[float], lag_us: int) -> str:
     line = f"{name}: cpu {sum(cpus) / len(cpus):.2f} in the mean, {max(cpus):.2f} at most"
     if lag_us:
         line += f", late by {lag_us / 1000:.0f} ms at the most"
-    if max(cpus) > FULL_CPU and name.startswith("client"):
+    if max(cpus) > SATURATED_CPU and name.startswith("client"):
         line += "; FULL: figures may be its own"
     return line
