--- a/tests/cli/test_workers.py
+++ b/tests/cli/test_workers.py
@@ -65,7 +65,7 @@
             thread.join(TIMEOUT_S)
 
 
-class MultiWorkerEdge(RunningEdge):
+class RunningMultiWorkerEdge(RunningEdge):
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, f"\nworkers {WORKERS}")
 
@@ -89,13 +89,13 @@
 
 
 @pytest.fixture
-def edge(tmp_path: Path) -> Iterator[MultiWorkerEdge]:
-    edge = MultiWorkerEdge(tmp_path)
+def edge(tmp_path: Path) -> Iterator[RunningMultiWorkerEdge]:
+    edge = RunningMultiWorkerEdge(tmp_path)
     yield edge
     edge.stop()
 
 
-def test_killed_worker_is_replaced_and_its_clients_use_other_workers(edge: MultiWorkerEdge) -> None:
+def test_killed_worker_is_replaced_and_its_clients_use_other_workers(edge: RunningMultiWorkerEdge) -> None:
     clients = ContinuousClients(edge.address, 6)
     try:
         clients.wait_for_progress()
@@ -112,7 +112,7 @@
         clients.stop()
 
 
-def test_reload_and_shutdown_lose_no_request_in_flight(edge: MultiWorkerEdge) -> None:
+def test_reload_and_shutdown_lose_no_request_in_flight(edge: RunningMultiWorkerEdge) -> None:
     clients = ContinuousClients(edge.address, 6)
     try:
         clients.wait_for_progress()
@@ -142,7 +142,7 @@
     assert edge.edge_process.wait(30) == 0
 
 
-def test_stopped_worker_does_not_affect_clients_of_others(edge: MultiWorkerEdge) -> None:
+def test_stopped_worker_does_not_affect_clients_of_others(edge: RunningMultiWorkerEdge) -> None:
     clients = ContinuousClients(edge.address, 6)
     try:
         clients.wait_for_progress()
@@ -167,7 +167,7 @@
         clients.stop()
 
 
-def test_workers_exit_after_their_parent_is_killed(edge: MultiWorkerEdge) -> None:
+def test_workers_exit_after_their_parent_is_killed(edge: RunningMultiWorkerEdge) -> None:
     pids = edge.pids()
     edge.edge_process.kill()
     deadline = time.monotonic() + TIMEOUT_S
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -108,7 +108,7 @@
             tmp_path / "r",
             make_attempt(1),
             make_attempt(2, status=14, retry_after_ms=200, reason="full"),
-            make_attempt(2, make_attempt=1, due_us=300_000, took_us=40_000),
+            make_attempt(2, attempt=1, due_us=300_000, took_us=40_000),
             make_attempt(3, status=8, retry_after_ms=100, took_us=3000, reason="full"),
             make_attempt(4, status=4, local=True, took_us=2_000_000),
             make_attempt(5, status=3, reason="bad"),
