--- a/juniperreel/testbed/driver_fleet.py
+++ b/juniperreel/testbed/driver_fleet.py
@@ -27,7 +27,7 @@
 from juniperreel.net.clock import US
 from juniperreel.testbed.driver_settings import driver_settings
 from juniperreel.testbed.errors import DriverStartError, ProcessStateError
-from juniperreel.testbed.links import Links, play_link_fault
+from juniperreel.testbed.links import Links, run_link_fault
 from juniperreel.testbed.processes import ManagedProcess, Processes, ProcessState
 from juniperreel.testbed.relay import Relay, connect_to_port
 from juniperreel.testbed.scenario import (
@@ -48,12 +48,12 @@
 # After SIGTERM the operators wait for the longest deadline, or so long where it is longer, and a while more.
 LONGEST_DEADLINE_US = 3_000_000
 KILL_AFTER_DEADLINE_US = 700_000
-SIGNALS_IN_SERIES = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP, signal.SIGTERM)
-SERIES_PAUSE_S = 0.15  # mean, between two signals of a series
-FRONT_NOTICES_S = 0.3  # until no new connections come to a driver that was told to end
+SIGNAL_SEQUENCE = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP, signal.SIGTERM)
+MEAN_SIGNAL_INTERVAL_S = 0.15  # mean, between two signals of a series
+CLIENT_ROUTING_DELAY_S = 0.3  # until no new connections come to a driver that was told to end
 KILLED = -9
 NS_PER_S = 1_000_000_000
-LEAST_RATE = 1e-3  # requests a second, so that a pause between requests is finite
+MIN_RATE = 1e-3  # requests a second, so that a pause between requests is finite
 
 
 class ExitStatus(NamedTuple):
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        day: Script,
+        script: Script,
         names: Sequence[str],
         network: Network,
         clock: Clock,
@@ -91,7 +91,7 @@
         `environment`: variables of the drivers' processes beside those that each needs.
         """
         self._environment = dict(environment or {})
-        self.day = day
+        self.script = script
         self.names = tuple(names)
         self.clock = clock
         self.processes = Processes(directory)
@@ -102,7 +102,7 @@
         self._directory = directory
         self._program = program
         self._rng = random.Random(seed)
-        self._all_names = driver_names(day)
+        self._all_names = driver_names(script)
         self._log_positions: dict[str, int] = {}
         self._reloads: Counter[str] = Counter()
         self.exit_statuses: list[ExitStatus] = []  # of drivers that were told to end
@@ -110,7 +110,7 @@
         self._restarting: set[str] = set()  # drivers whose process is being ended, or started anew
         discovery_rng = random.Random(self._rng.random())
         self.hosts = PlatformDiscovery(
-            self.names, clock, discovery_rng, record, day["list-delay"], member_port
+            self.names, clock, discovery_rng, record, script["list-delay"], member_port
         )
 
     async def start(self) -> None:
@@ -141,10 +141,10 @@
         self._log_positions[process.name] = position + sum(map(len, lines))
         yield from _parse_events(lines)
 
-    async def play_fault(self, step: Step) -> None:
+    async def run_fault(self, step: Step) -> None:
         """Play a fault of these drivers' processes, or of their links to discovery, to its end."""
         async with trio.open_nursery() as nursery:
-            for name in targeted_drivers(self.day, step):
+            for name in targeted_drivers(self.script, step):
                 if name not in self.names:
                     continue  # another process of the trial plays it
                 if name in self._restarting and step.fault.startswith("edge-"):
@@ -160,46 +160,48 @@
             case "edge-stall":
                 nursery.start_soon(self._stall, name, step.for_us)
             case "edge-term":
-                nursery.start_soon(self._restart, name, step.value)
+                nursery.start_soon(self._terminate_and_restart, name, step.value)
             case "edge-signals":
-                nursery.start_soon(self._restart, name, step.value, SIGNALS_IN_SERIES)
+                nursery.start_soon(self._terminate_and_restart, name, step.value, SIGNAL_SEQUENCE)
             case "edge-reload":
                 nursery.start_soon(self._reload, name)
             case fault if fault.startswith("link-"):
-                nursery.start_soon(self._play_discovery_fault, step, name)
+                nursery.start_soon(self._run_discovery_fault, step, name)
 
     def session(
         self,
         name: str,
         index: int,
         group: int,
-        mix: Sequence[rec.RequestClass],
+        classes: Sequence[rec.RequestClass],
         weights: Sequence[float],
         session_class: type[PlatformSession] = PlatformSession,
     ) -> PlatformSession:
         """Make a session of a group that goes to the driver at this index of `names`, round robin."""
         seed = self._rng.getrandbits(32)
-        front = partial(self._address, index)
-        return session_class(name, group, mix, weights, front, self._network, self.clock, self._record, seed)
+        find_edge = partial(self._address, index)
+        return session_class(
+            name, group, classes, weights, find_edge, self._network, self.clock, self._record, seed
+        )
 
     async def run_load(self, until_us: int, weights: Sequence[float]) -> None:
         """Send these drivers their part of the script's rate until then, each evenly to all groups."""
-        mix = request_classes(self.clock.now_us(), self.day["longest-deadline"])
+        classes = request_classes(self.clock.now_us(), self.script["longest-deadline"])
         async with trio.open_nursery() as nursery:
             for index, name in enumerate(self.names):
-                rate = driver_rate(self.day, self._all_names.index(name))
+                rate = driver_rate(self.script, self._all_names.index(name))
                 sessions = max(1, round(rate / SESSION_RATE))
-                pause_s = sessions / max(rate, LEAST_RATE)
-                for group in range(self.day["groups"]):
+                pause_s = sessions / max(rate, MIN_RATE)
+                for group in range(self.script["groups"]):
                     for number in range(sessions):
-                        session = self.session(f"{name}.{group}.{number}", index, group, mix, weights)
+                        session = self.session(f"{name}.{group}.{number}", index, group, classes, weights)
                         nursery.start_soon(session.run, until_us, pause_s)
 
     async def shut_down_all(self) -> None:
         """End all drivers that run, by SIGTERM and in order."""
         async with trio.open_nursery() as nursery:
             for name in self.names:
-                nursery.start_soon(self._restart, name, 0)
+                nursery.start_soon(self._terminate_and_restart, name, 0)
 
     async def _open_discovery_link(self, driver: str) -> Relay:
         """The relay by which a driver reaches its discovery; another one after each of its reloads."""
@@ -214,7 +216,7 @@
         index = self._all_names.index(driver)
         now_us = self.clock.now_us()
         seed = self._rng.getrandbits(60)
-        return driver_settings(self.day, driver, index, relay.port, seed, discovery.hosts, now_us)
+        return driver_settings(self.script, driver, index, relay.port, seed, discovery.hosts, now_us)
 
     def _add_process(self, name: str, config: Path) -> ManagedProcess:
         environment = {
@@ -246,20 +248,20 @@
         name = preferred if preferred in listening else listening[index % len(listening)]
         return EdgeAddress(name, self.ports[name])
 
-    async def _kill(self, name: str, restart_after_us: float) -> None:
+    async def _kill(self, name: str, restart_delay_us: float) -> None:
         process = self.processes[name]
         # Two steps that fall due in one turn of a loop that is late both found nothing under way.
         if process.state is ProcessState.ENDED or name in self._restarting:
             return
-        with self._restart_of(name):
+        with self._mark_restarting(name):
             self._record(rec.EdgeDown(self.clock.now_us(), name))
             self.killed_us[name].append(self.clock.now_us())
             self.ports.pop(name, None)
             process.kill_and_wipe_disk()
-            await self._start_after(name, restart_after_us)
+            await self._start_after(name, restart_delay_us)
 
     @contextmanager
-    def _restart_of(self, name: str) -> Iterator[None]:
+    def _mark_restarting(self, name: str) -> Iterator[None]:
         self._restarting.add(name)
         try:
             yield
@@ -272,36 +274,36 @@
             await trio.sleep(pause_us / US)
             await self.start_driver(name)
 
-    async def _restart(
-        self, name: str, restart_after_us: float, further_signals: Sequence[signal.Signals] = ()
+    async def _terminate_and_restart(
+        self, name: str, restart_delay_us: float, further_signals: Sequence[signal.Signals] = ()
     ) -> None:
         """Tell a driver to end, kill it when its time is over, and start it again where that is asked for."""
         process = self.processes[name]
         is_serving = process.state is ProcessState.RUNNING and name in self.ports
         if not is_serving or name in self._restarting:
             return
-        with self._restart_of(name):
+        with self._mark_restarting(name):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_signals, process, further_signals)
                 await self._shut_down(name, process)
                 nursery.cancel_scope.cancel()
-            await self._start_after(name, restart_after_us)
+            await self._start_after(name, restart_delay_us)
 
     async def _send_signals(self, process: ManagedProcess, numbers: Sequence[signal.Signals]) -> None:
         for number in numbers:
-            await trio.sleep(self._rng.expovariate(1 / SERIES_PAUSE_S))
+            await trio.sleep(self._rng.expovariate(1 / MEAN_SIGNAL_INTERVAL_S))
             process.send_signal(number)
 
     @property
     def kill_after_s(self) -> float:
         """The time from SIGTERM to SIGKILL: the shortest that the operators take."""
-        return (min(self.day["longest-deadline"], LONGEST_DEADLINE_US) + KILL_AFTER_DEADLINE_US) / US
+        return (min(self.script["longest-deadline"], LONGEST_DEADLINE_US) + KILL_AFTER_DEADLINE_US) / US
 
     async def _shut_down(self, name: str, process: ManagedProcess) -> None:
         process.terminate()
         waited_before_ns = process.run_queue_wait_ns() or 0
         with trio.move_on_after(self.kill_after_s) as limit:
-            await trio.sleep(FRONT_NOTICES_S)
+            await trio.sleep(CLIENT_ROUTING_DELAY_S)
             self.ports.pop(name, None)
             status = await process.wait()
         if not limit.cancelled_caught:
@@ -321,7 +323,7 @@
         old = await self._open_discovery_link(name)
         self._reloads[name] += 1
         self._write_config(name, await self._settings(name))
-        process.hang_up()
+        process.reload()
         old.refusing = True
         old.reset()
 
@@ -342,9 +344,9 @@
         # What waited for it meanwhile is late by the stall, and a little while it catches up.
         self._record(rec.EdgeStalled(start_us, name, self.clock.now_us() + duration_us))
 
-    async def _play_discovery_fault(self, step: Step, name: str) -> None:
+    async def _run_discovery_fault(self, step: Step, name: str) -> None:
         assert self.links is not None
-        await play_link_fault(self.links.select([name], [DISCOVERY]), step)
+        await run_link_fault(self.links.select([name], [DISCOVERY]), step)
 
 
 def _whole_lines(data: bytes) -> list[bytes]:
--- a/juniperreel/testbed/driver_settings.py
+++ b/juniperreel/testbed/driver_settings.py
@@ -19,11 +19,11 @@
 from juniperreel.verification import records as rec
 
 LIMITS = {"cores": 1.0, "memory_mb": 96, "sockets": 512}
-SOCKETS_IN_A_CROWD = 160
+CROWD_SOCKET_LIMIT = 160
 
 
 def driver_settings(
-    day: Script,
+    script: Script,
     name: str,
     index: int,
     discovery_port: int,
@@ -37,15 +37,15 @@
         "listen": "127.0.0.1:0",
         "discovery": f"127.0.0.1:{discovery_port}",
         "seed": f"{seed:x}",
-        "limits": {**LIMITS, "sockets": SOCKETS_IN_A_CROWD} if day["crowd"] else LIMITS,
+        "limits": {**LIMITS, "sockets": CROWD_SOCKET_LIMIT} if script["crowd"] else LIMITS,
         "known": {"seq": 0, "whole": True, "hosts": hosts},
-        "settings": _router_settings(day, index, now_us),
+        "settings": _router_settings(script, index, now_us),
     }
 
 
-def _router_settings(day: Script, index: int, now_us: int) -> dict[str, Any]:
+def _router_settings(script: Script, index: int, now_us: int) -> dict[str, Any]:
     return {
-        "balancers": day["fleet"] or day["edges"],
+        "balancers": script["fleet"] or script["edges"],
         "ceilings": {
             "cancelling": True,
             "conn_idle_s": 15.0,
@@ -59,9 +59,9 @@
         "kinds": ["k"],
         "membership_mode": "ask",
         "prices": {"probe": 0.08, "cross_zone": 0.02},
-        "rules": _rules(day),
+        "rules": _rules(script),
         "services": [
-            _service(request_class) for request_class in request_classes(now_us, day["longest-deadline"])
+            _service(request_class) for request_class in request_classes(now_us, script["longest-deadline"])
         ],
         "specifics": {
             "consistency": ["bounded", "session", "write"],
@@ -78,10 +78,10 @@
     }
 
 
-def _rules(day: Script) -> dict[str, Any]:
-    shape = EndpointSettings(slow_start_us=day["cold-span"])
+def _rules(script: Script) -> dict[str, Any]:
+    shape = EndpointSettings(slow_start_us=script["cold-span"])
     return {
-        "ask_every_s": day["ask-every"] / US,
+        "ask_every_s": script["ask-every"] / US,
         "cold_from": shape.initial_capacity,
         "cold_s": shape.slow_start_us / US,
         "fall_multiple": shape.overload_multiple,
--- a/juniperreel/testbed/drivers_process.py
+++ b/juniperreel/testbed/drivers_process.py
@@ -34,15 +34,15 @@
     """Plays some of the trial's drivers with their discovery and their sessions."""
 
     def __init__(
-        self, day: Script, arguments: ProcessArguments, control: ControlConnection, record: Recorder
+        self, script: Script, arguments: ProcessArguments, control: ControlConnection, record: Recorder
     ) -> None:
-        super().__init__(day, arguments, control, record)
+        super().__init__(script, arguments, control, record)
         directory = arguments.directory / arguments.name
         directory.mkdir(exist_ok=True)
         self._member_ports: dict[tuple[str, str], int] = {}  # by driver and member
         self._drivers = DriverFleet(
-            day,
-            [name for number, name in enumerate(driver_names(day)) if arguments.owns(number)],
+            script,
+            [name for number, name in enumerate(driver_names(script)) if arguments.owns(number)],
             self.network,
             self.clock,
             record,
@@ -60,8 +60,8 @@
 
     async def run(self) -> None:
         """Play to the trial's end; the drivers have ended then."""
-        own_day = replace(self.day, steps=steps_of_role(self.day, DRIVERS))
-        fleet = Fleet(own_day, self.network, self.clock, self.record, frozenset(), self._drivers.hosts)
+        own_script = replace(self.script, steps=steps_of_role(self.script, DRIVERS))
+        fleet = Fleet(own_script, self.network, self.clock, self.record, frozenset(), self._drivers.hosts)
         async with trio.open_nursery() as nursery:
             self._drivers.links = Links(self.network, nursery, self.rng.getrandbits(32))
             nursery.start_soon(self.lag.run)
@@ -71,7 +71,7 @@
                 await self.expect(StartDrivers)
                 await self._wait_for_members()
                 await self._drivers.start()
-                await self.play_day(partial(self._play, fleet))
+                await self.run_script(partial(self._play, fleet))
             finally:
                 self._drivers.processes.kill_all()
             await self.control.send(self._counts())
@@ -79,7 +79,7 @@
 
     async def _play(self, fleet: Fleet, start: StartDay) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(fleet.play, self._drivers.play_fault)
+            nursery.start_soon(fleet.play, self._drivers.run_fault)
             nursery.start_soon(self._drivers.run_load, start.until_us, CLASS_WEIGHTS)
 
     async def _member_port(self, driver: str, member: str) -> int:
@@ -88,7 +88,7 @@
 
     async def _wait_for_members(self) -> None:
         """Return once every driver's discovery has all members of the trial."""
-        members = self.day["groups"] * self.day["members"]
+        members = self.script["groups"] * self.script["members"]
         discoveries = self._drivers.hosts.servers.values()
         while any(len(discovery.hosts) < members for discovery in discoveries):
             await trio.sleep(POLL_S)
--- a/juniperreel/testbed/injected_faults.py
+++ b/juniperreel/testbed/injected_faults.py
@@ -146,7 +146,7 @@
             self.faults.raise_if_occurs(FaultKind.SOCKET)
         super().__init__(family, type, proto, fileno)
         self._is_connection = False  # and no listener, nor a pair by which a process wakes itself
-        self._was_opened_here = False
+        self._is_outgoing = False
 
     def accept(self) -> tuple[socket.socket, Any]:
         """Accept a connection, or fail before one is taken."""
@@ -160,19 +160,19 @@
     def connect(self, address: Any) -> None:
         """Connect, or fail."""
         self.faults.raise_if_occurs(FaultKind.CONNECT)
-        self._is_connection = self._was_opened_here = True
+        self._is_connection = self._is_outgoing = True
         super().connect(address)
 
     def connect_ex(self, address: Any) -> int:
         """Connect, or return an error."""
         if self.faults.occurs(FaultKind.CONNECT):
             return self.faults.draw_errno(FaultKind.CONNECT)
-        self._is_connection = self._was_opened_here = True
+        self._is_connection = self._is_outgoing = True
         return super().connect_ex(address)
 
     def setsockopt(self, *arguments: Any) -> None:
         """Set an option, or fail."""
-        if self._is_connection and not self._was_opened_here:
+        if self._is_connection and not self._is_outgoing:
             self.faults.raise_if_occurs(FaultKind.SOCKET_OPTION)
         super().setsockopt(*arguments)
 
@@ -180,7 +180,7 @@
         """Send some of the data, or fail."""
         if not self._is_connection:
             return super().send(data, flags)
-        self._break_now_and_then()
+        self._break_if_occurs()
         self.faults.raise_if_occurs(FaultKind.WRITE)
         if len(data) > 1 and self.faults.occurs(FaultKind.SHORT_WRITE):
             data = bytes(data[: self.faults.random.randrange(1, len(data))])
@@ -190,13 +190,13 @@
         """Receive some of what is there, or fail."""
         if not self._is_connection:
             return super().recv(bufsize, flags)
-        self._break_now_and_then()
+        self._break_if_occurs()
         if not flags & socket.MSG_PEEK and self.faults.occurs(FaultKind.SHORT_READ):
             bufsize = min(bufsize, self.faults.random.randrange(1, 200))
         return super().recv(bufsize, flags)
 
-    def _break_now_and_then(self) -> None:
-        if self._was_opened_here:
+    def _break_if_occurs(self) -> None:
+        if self._is_outgoing:
             self.faults.raise_if_occurs(FaultKind.BROKEN_CONNECTION)
 
 
--- a/juniperreel/testbed/links.py
+++ b/juniperreel/testbed/links.py
@@ -62,7 +62,7 @@
             relay.heal()
 
 
-async def play_link_fault(relays: Sequence[Relay], step: Step) -> None:
+async def run_link_fault(relays: Sequence[Relay], step: Step) -> None:
     """Inject a step's fault into these links and clear it after the step's duration."""
     inject_link_fault(relays, step)
     await trio.sleep(step.for_us / US)
--- a/juniperreel/testbed/member_links.py
+++ b/juniperreel/testbed/member_links.py
@@ -7,7 +7,7 @@
 
 from juniperreel.fakes.fleet import Fleet
 from juniperreel.fakes.script import Step
-from juniperreel.testbed.links import Links, play_link_fault
+from juniperreel.testbed.links import Links, run_link_fault
 
 
 class MemberLinks:
@@ -24,13 +24,13 @@
         relay = await self._links.open(driver, member, dial)
         return relay.port
 
-    async def play_fault(self, step: Step, drivers: Sequence[str]) -> None:
+    async def run_fault(self, step: Step, drivers: Sequence[str]) -> None:
         """Play a fault of the links from these drivers to the members that the step names, to its end."""
         members = [member.name for member in self._fleet.targets(step.other)]
         for driver in drivers:
             for member in members:
                 await self.port(driver, member)
-        await play_link_fault(self._links.select(drivers, members), step)
+        await run_link_fault(self._links.select(drivers, members), step)
 
     @property
     def probes(self) -> int:
--- a/juniperreel/testbed/members_process.py
+++ b/juniperreel/testbed/members_process.py
@@ -49,27 +49,27 @@
 
     async def run(self) -> None:
         """Play to the trial's end."""
-        own_day = replace(self.day, steps=steps_of_role(self.day, MEMBERS))
-        own_day.settings = self.day.settings | {"seed": self.rng.getrandbits(31)}
-        groups = frozenset(number for number in range(self.day["groups"]) if self.arguments.owns(number))
+        own_script = replace(self.script, steps=steps_of_role(self.script, MEMBERS))
+        own_script.settings = self.script.settings | {"seed": self.rng.getrandbits(31)}
+        groups = frozenset(number for number in range(self.script["groups"]) if self.arguments.owns(number))
         hosts = HostUpdateQueue()
-        fleet = Fleet(own_day, self.network, self.clock, self.record, groups, hosts, platform=True)
+        fleet = Fleet(own_script, self.network, self.clock, self.record, groups, hosts, platform=True)
         async with trio.open_nursery() as nursery:
             links = Links(self.network, nursery, self.rng.getrandbits(32))
-            member_links = MemberLinks(fleet, links, driver_names(self.day))
+            member_links = MemberLinks(fleet, links, driver_names(self.script))
             nursery.start_soon(self._send_host_updates, hosts, member_links)
             nursery.start_soon(self.lag.run)
             nursery.start_soon(self.receive_messages)
             await nursery.start(fleet.run)
-            await self.play_day(partial(self._play, fleet, member_links))
+            await self.run_script(partial(self._play, fleet, member_links))
             await self.control.send(self._counts(member_links))
             nursery.cancel_scope.cancel()
 
     async def _play(self, fleet: Fleet, member_links: MemberLinks, _: StartDay) -> None:
-        await fleet.play(partial(self._play_link_fault, member_links))
+        await fleet.play(partial(self._run_link_fault, member_links))
 
-    async def _play_link_fault(self, member_links: MemberLinks, step: Step) -> None:
-        await member_links.play_fault(step, targeted_drivers(self.day, step))
+    async def _run_link_fault(self, member_links: MemberLinks, step: Step) -> None:
+        await member_links.run_fault(step, targeted_drivers(self.script, step))
 
     async def _send_host_updates(self, hosts: HostUpdateQueue, member_links: MemberLinks) -> None:
         async for host, delay_us in hosts.updates:
--- a/juniperreel/testbed/multi_process_trial.py
+++ b/juniperreel/testbed/multi_process_trial.py
@@ -37,9 +37,9 @@
 
 MAX_MEMBERS_PROCESSES = 4
 START_TIMEOUT_S = 300  # for hundreds of processes, on a machine that has much else to do
-START_NOTICE_US = 500_000  # the day's beginning is sent so long before it
+START_LEAD_US = 500_000  # the day's beginning is sent so long before it
 END_TIMEOUT_S = 60.0
-LAST_ANSWERS_S = 5.0  # after the last request, for those that are in flight
+IN_FLIGHT_WAIT_S = 5.0  # after the last request, for those that are in flight
 POLL_S = 0.2
 LOG_TAIL_CHARACTERS = 2000
 
@@ -48,23 +48,23 @@
     """One trial. `records` and `counts` (by process) are what it leaves."""
 
     def __init__(
-        self, day: Script, directory: Path, driver_processes: int, program: Sequence[str] = ()
+        self, script: Script, directory: Path, driver_processes: int, program: Sequence[str] = ()
     ) -> None:
         """`directory` keeps settings, logs and parts of the recording.
 
         `driver_processes` bounds the processes for drivers; `program` is what a driver is started by, the
         platform's own command if empty.
         """
-        self.day = day
-        self.drivers = driver_names(day)
+        self.script = script
+        self.drivers = driver_names(script)
         self.processes = Processes(directory)
         self.records: list[rec.Record] = []
         self.counts: dict[str, ProcessCounts] = {}
         self._directory = directory
         self._program = tuple(program)
         self._parts = {
-            MEMBERS: min(day["groups"], MAX_MEMBERS_PROCESSES),
-            DRIVERS: min(driver_processes, day["edges"]),
+            MEMBERS: min(script["groups"], MAX_MEMBERS_PROCESSES),
+            DRIVERS: min(driver_processes, script["edges"]),
         }
         self._names = [f"{role}-{part}" for role, parts in self._parts.items() for part in range(parts)]
         self._connections: dict[str, ControlConnection] = {}
@@ -85,9 +85,9 @@
                 nursery.start_soon(self._watch_processes)
                 with trio.fail_after(START_TIMEOUT_S):
                     await self._wait_until_ready(report)
-                start_us = self._clock.now_us() + START_NOTICE_US
+                start_us = self._clock.now_us() + START_LEAD_US
                 report(f"the day begins, {(self._clock.now_us() - began_us) / US:.1f} s after the start")
-                await self._play_day(start_us)
+                await self._run_script(start_us)
                 with trio.fail_after(END_TIMEOUT_S):
                     await self._wait_until_ended()
                 nursery.cancel_scope.cancel()
@@ -98,12 +98,12 @@
     def _start_processes(self, control_port: int) -> None:
         environment = {"PATH": os.environ.get("PATH", ""), "PYTHONPATH": str(REPOSITORY)}
         directory = str(self._directory)
-        script = self._directory / "day"
-        script.write_text(render(self.day), encoding="utf-8")
+        script_path = self._directory / "day"
+        script_path.write_text(render(self.script), encoding="utf-8")
         module = [sys.executable, "-m", "juniperreel.testbed.process_group"]
         for role, parts in self._parts.items():
             for part in range(parts):
-                arguments = [str(script), role, str(part), str(parts), str(control_port), directory]
+                arguments = [str(script_path), role, str(part), str(parts), str(control_port), directory]
                 command = [*module, *arguments, *self._program]
                 self.processes.add(f"{role}-{part}", command, environment).start()
 
@@ -116,10 +116,10 @@
         await self._broadcast(StartDrivers(), DRIVERS)
         await self._wait_for(lambda: len(self._ready) == len(self._names))
 
-    async def _play_day(self, start_us: int) -> None:
-        until_us = start_us + self.day["last"]
+    async def _run_script(self, start_us: int) -> None:
+        until_us = start_us + self.script["last"]
         await self._broadcast(StartDay(start_us, until_us))
-        await trio.sleep_until(self._clock.trio_time(until_us) + LAST_ANSWERS_S)
+        await trio.sleep_until(self._clock.trio_time(until_us) + IN_FLIGHT_WAIT_S)
         await self._broadcast(EndDay())
 
     async def _wait_until_ended(self) -> None:
@@ -188,10 +188,10 @@
 
     def _merge_records(self, start_us: int) -> list[rec.Record]:
         """Records of all processes in order of time; each fault, which every process wrote, comes once."""
-        shape = EndpointSettings(slow_start_us=self.day["cold-span"])
-        mix = request_classes(start_us, self.day["longest-deadline"])
-        merged: list[rec.Record] = [*mix, limits(start_us, shape)]
-        for step in self.day.steps:
+        shape = EndpointSettings(slow_start_us=self.script["cold-span"])
+        classes = request_classes(start_us, self.script["longest-deadline"])
+        merged: list[rec.Record] = [*classes, limits(start_us, shape)]
+        for step in self.script.steps:
             merged.append(rec.Fault(start_us + step.at_us, step.text, True))
             merged.append(rec.Fault(start_us + step.at_us + step.for_us, step.text, False))
         for name in self._names:
--- a/juniperreel/testbed/picture.py
+++ b/juniperreel/testbed/picture.py
@@ -13,8 +13,8 @@
 
 WIDTH_INCHES = 14.0
 ROW_INCHES = 0.16
-LEAST_GROUP_INCHES = 1.0
-REST_INCHES = 2.5  # the curve of what was served, with titles
+MIN_GROUP_INCHES = 1.0
+SERVED_PLOT_INCHES = 2.5  # the curve of what was served, with titles
 DOTS_PER_INCH = 110
 MAX_SHARE = 2.0  # times the fair share, where the colours end
 LABEL_ROWS = 5  # faults' labels alternate between so many heights
@@ -47,7 +47,7 @@
     @property
     def height_inches(self) -> float:
         """Height of its part of the picture."""
-        return max(len(self.members) * ROW_INCHES, LEAST_GROUP_INCHES)
+        return max(len(self.members) * ROW_INCHES, MIN_GROUP_INCHES)
 
 
 def served_fractions(records: list[rec.Record], since: int, until: int) -> list[float]:
@@ -87,7 +87,7 @@
     figure, axes = pyplot.subplots(
         len(groups) + 1,
         1,
-        figsize=(WIDTH_INCHES, sum(heights) + REST_INCHES),
+        figsize=(WIDTH_INCHES, sum(heights) + SERVED_PLOT_INCHES),
         sharex=True,
         squeeze=False,
         gridspec_kw={"height_ratios": [*heights, 1.5]},
--- a/juniperreel/testbed/process_group.py
+++ b/juniperreel/testbed/process_group.py
@@ -27,13 +27,13 @@
 
 async def run_process(arguments: ProcessArguments) -> None:
     """Connect to the trial, play this process's part and leave its recording."""
-    day = parse(arguments.script.read_text(encoding="utf-8"))
+    script = parse(arguments.script_path.read_text(encoding="utf-8"))
     stream = await TcpNetwork().connect("127.0.0.1", arguments.control_port, CONNECT_TIMEOUT_US)
     control = ControlConnection(stream)
     await control.send(Hello(arguments.name))
     process_class = MembersProcess if arguments.role == MEMBERS else DriversProcess
     with (arguments.directory / f"{arguments.name}.recording").open("wb") as out:
-        await process_class(day, arguments, control, Recorder(out)).run()
+        await process_class(script, arguments, control, Recorder(out)).run()
 
 
 def main() -> None:
--- a/juniperreel/testbed/processes.py
+++ b/juniperreel/testbed/processes.py
@@ -105,7 +105,7 @@
         """Ask it to end (SIGTERM); does nothing if it has ended."""
         self._signal(signal.SIGTERM)
 
-    def hang_up(self) -> None:
+    def reload(self) -> None:
         """Tell it to reload its configuration (SIGHUP); does nothing if it has ended."""
         self._signal(signal.SIGHUP)
 
@@ -115,13 +115,13 @@
 
     def freeze(self) -> None:
         """Stop its execution until `thaw`. Raises ProcessStateError unless it is running."""
-        self._require(ProcessState.RUNNING)
+        self._require_state(ProcessState.RUNNING)
         self._signal(signal.SIGSTOP)
         self._frozen = True
 
     def thaw(self) -> None:
         """Let a frozen process go on. Raises ProcessStateError unless it is frozen."""
-        self._require(ProcessState.FROZEN)
+        self._require_state(ProcessState.FROZEN)
         self._signal(signal.SIGCONT)
         self._frozen = False
 
@@ -153,7 +153,7 @@
             raise ProcessStateError(self.name, "was never started")
         return self._process
 
-    def _require(self, state: ProcessState) -> None:
+    def _require_state(self, state: ProcessState) -> None:
         if self.state is not state:
             raise ProcessStateError(self.name, f"is {self.state.value}")
 
--- a/juniperreel/testbed/run_queue.py
+++ b/juniperreel/testbed/run_queue.py
@@ -19,7 +19,7 @@
 from juniperreel.testbed.processes import ManagedProcess
 
 SAMPLE_INTERVAL_S = 0.005
-LONGEST_WAIT_US = 10_000_000  # that is looked for behind a span in which it may have begun
+MAX_WAIT_US = 10_000_000  # that is looked for behind a span in which it may have begun
 
 
 class WaitSample(NamedTuple):
@@ -55,21 +55,21 @@
         first = max(bisect_left(samples, (start_us,)) - 1, 0)
         total_us = 0
         for earlier, later in pairwise(samples[first:]):
-            if earlier.at_us > end_us + LONGEST_WAIT_US:
+            if earlier.at_us > end_us + MAX_WAIT_US:
                 break
             if earlier.pid == later.pid and later.waited_us > earlier.waited_us:
-                total_us += _least_wait_us(earlier, later, start_us, end_us, hold_ups)
+                total_us += _min_wait_us(earlier, later, start_us, end_us, hold_ups)
         return min(total_us, end_us - start_us)
 
 
-def _least_wait_us(
+def _min_wait_us(
     earlier: WaitSample, later: WaitSample, start_us: int, end_us: int, hold_ups: Sequence[HoldUp]
 ) -> int:
     waited_us = later.waited_us - earlier.waited_us
-    if_over_at_once = HoldUp(earlier.at_us - waited_us, earlier.at_us)
-    if_over_at_last = HoldUp(later.at_us - waited_us, later.at_us)
-    within_us = min(wait.overlap_us(start_us, end_us) for wait in (if_over_at_once, if_over_at_last))
-    return max(0, within_us - held_up_us(hold_ups, if_over_at_once.start_us, later.at_us))
+    earliest_wait = HoldUp(earlier.at_us - waited_us, earlier.at_us)
+    latest_wait = HoldUp(later.at_us - waited_us, later.at_us)
+    within_us = min(wait.overlap_us(start_us, end_us) for wait in (earliest_wait, latest_wait))
+    return max(0, within_us - held_up_us(hold_ups, earliest_wait.start_us, later.at_us))
 
 
 class RunQueueRecorder:
--- a/juniperreel/testbed/scenario.py
+++ b/juniperreel/testbed/scenario.py
@@ -41,13 +41,15 @@
     Their latency objectives are wide: a trial's machine has more to do than its size allows, and a rejected
     request violates no rule. A deadline is DEADLINE_MULTIPLE times the objective.
     """
-    board_us, own_us, write_us = (
+    bounded_read_us, session_read_us, write_us = (
         min(objective_us, longest_deadline_us // DEADLINE_MULTIPLE) for objective_us in LATENCY_OBJECTIVES_US
     )
     bounded_read = rec.RequestClass(
-        now_us, "board", "repeatable", 0, False, False, CHECKED_STALENESS_US, board_us, 3.0, 0.2
+        now_us, "board", "repeatable", 0, False, False, CHECKED_STALENESS_US, bounded_read_us, 3.0, 0.2
+    )
+    session_read = rec.RequestClass(
+        now_us, "own", "repeatable", 0, False, True, -1, session_read_us, 3.0, 0.2
     )
-    session_read = rec.RequestClass(now_us, "own", "repeatable", 0, False, True, -1, own_us, 3.0, 0.2)
     write = rec.RequestClass(
         now_us, "run", "keyed", DEDUPLICATION_WINDOW_US, True, False, -1, write_us, 4.0, 0.7
     )
@@ -59,9 +61,9 @@
     return shape.limits(now_us, DRAIN_GRACE_US, MAX_ATTEMPTS)
 
 
-def driver_names(day: Script) -> tuple[str, ...]:
+def driver_names(script: Script) -> tuple[str, ...]:
     """Names of all drivers of a trial, in order of their numbers."""
-    return tuple(f"n{i}" for i in range(day["edges"]))
+    return tuple(f"n{i}" for i in range(script["edges"]))
 
 
 def zone_of_driver(index: int) -> int:
@@ -69,12 +71,12 @@
     return index % ZONES
 
 
-def targeted_drivers(day: Script, step: Step) -> list[str]:
+def targeted_drivers(script: Script, step: Step) -> list[str]:
     """The drivers that a step's target names: the same ones in every process of a trial.
 
     Raises UnknownTargetError for a target that names none.
     """
-    names = driver_names(day)
+    names = driver_names(script)
     selector = step.target.removeprefix("edge/")
     kind, _, argument = selector.partition(":")
     if selector == "*":
@@ -82,7 +84,7 @@
     if kind == "random" and argument:
         fraction = float(argument.rstrip("%")) / 100
         count = min(len(names), max(1, round(fraction * len(names))))
-        rng = random.Random(f"{day['seed']} {step.text}")
+        rng = random.Random(f"{script['seed']} {step.text}")
         return sorted(rng.sample(names, count))
     if kind == "zone" and argument:
         return [name for i, name in enumerate(names) if zone_of_driver(i) == int(argument)]
@@ -96,14 +98,14 @@
     return int((index + 1) * fraction) > int(index * fraction)
 
 
-def driver_rate(day: Script, index: int) -> float:
+def driver_rate(script: Script, index: int) -> float:
     """Requests a second for each group from the driver with this number.
 
     The script's rate is that of all drivers of the trial. Of a hundred drivers, `heavy` have
     BUSY_DRIVER_FACTOR times the mean, and the others what is left of the rate.
     """
-    busy = day["heavy"] / 100
+    busy = script["heavy"] / 100
     quiet_factor = (1 - BUSY_DRIVER_FACTOR * busy) / (1 - busy) if busy < 1 / BUSY_DRIVER_FACTOR else 1.0
-    mean = day["rate"] / day["edges"]
+    mean = script["rate"] / script["edges"]
     factor = BUSY_DRIVER_FACTOR if is_busy_driver(index, busy) else quiet_factor
-    return mean * factor / day["groups"]
+    return mean * factor / script["groups"]
--- a/juniperreel/testbed/shrink.py
+++ b/juniperreel/testbed/shrink.py
@@ -11,7 +11,7 @@
 from juniperreel.fakes.script import Script, Step
 from juniperreel.net.clock import US
 
-TAIL_US = 2_000_000  # of a day behind its last fault
+QUIET_TAIL_US = 2_000_000  # of a day behind its last fault
 MINIMUM_SETTINGS = {"edges": 2, "members": 2, "groups": 1, "sessions": 2, "rate": 10}
 RESTARTING_FAULTS = ("kill", "edge-kill", "roll")  # their value is a time after which something comes back
 Fails = Callable[[Script], Awaitable[bool]]
@@ -23,72 +23,72 @@
     return step.at_us + max(step.for_us, restart_us)
 
 
-def has_all_targets(day: Script) -> bool:
+def has_all_targets(script: Script) -> bool:
     """Whether every driver, group and member that a fault names by number is part of the day."""
-    return all(_is_target(day, step.target) and _is_target(day, step.other) for step in day.steps)
+    return all(_is_target(script, step.target) and _is_target(script, step.other) for step in script.steps)
 
 
-def _is_target(day: Script, target: str) -> bool:
+def _is_target(script: Script, target: str) -> bool:
     name, _, selector = target.partition("/")
     if name == "edge":
-        return not selector.isdigit() or int(selector) < day["edges"]
+        return not selector.isdigit() or int(selector) < script["edges"]
     if not (name[:1] == "g" and name[1:].isdigit()):
         return True
-    if int(name[1:]) >= day["groups"]:
+    if int(name[1:]) >= script["groups"]:
         return False
-    return not selector.isdigit() or int(selector) < day["members"]
+    return not selector.isdigit() or int(selector) < script["members"]
 
 
-def candidates(day: Script) -> Iterator[Script]:
+def candidates(script: Script) -> Iterator[Script]:
     """Yield smaller days, those that take most away first."""
-    steps = day.steps
+    steps = script.steps
     if len(steps) > 2:
         half = len(steps) // 2
-        yield replace(day, steps=steps[half:])
-        yield replace(day, steps=steps[:half])
+        yield replace(script, steps=steps[half:])
+        yield replace(script, steps=steps[:half])
     if len(steps) > 1:
         for i in range(len(steps)):
-            yield replace(day, steps=steps[:i] + steps[i + 1 :])
+            yield replace(script, steps=steps[:i] + steps[i + 1 :])
     for name, minimum in MINIMUM_SETTINGS.items():
-        value = max(day[name] // 2, minimum)
-        if value < day[name]:
-            yield _with_setting(day, name, value)
-    last_us = _shorter_day_us(day)
-    if last_us < day["last"]:
-        yield _with_setting(day, "last", last_us)
+        value = max(script[name] // 2, minimum)
+        if value < script[name]:
+            yield _with_setting(script, name, value)
+    last_us = _shorter_duration_us(script)
+    if last_us < script["last"]:
+        yield _with_setting(script, "last", last_us)
 
 
-def _shorter_day_us(day: Script) -> int:
+def _shorter_duration_us(script: Script) -> int:
     """The length to try next; the day's own where it cannot be shorter."""
-    if day.steps:
-        return max(end_us(step) for step in day.steps) + TAIL_US
-    if day["last"] > 2 * TAIL_US:
-        return day["last"] // 2
-    return day["last"]
+    if script.steps:
+        return max(end_us(step) for step in script.steps) + QUIET_TAIL_US
+    if script["last"] > 2 * QUIET_TAIL_US:
+        return script["last"] // 2
+    return script["last"]
 
 
-def _with_setting(day: Script, name: str, value: int) -> Script:
-    return replace(day, settings=day.settings | {name: value})
+def _with_setting(script: Script, name: str, value: int) -> Script:
+    return replace(script, settings=script.settings | {name: value})
 
 
 async def shrink(
-    day: Script, fails: Fails, plays: int, report: Callable[[str], None] = lambda _: None
+    script: Script, fails: Fails, max_runs: int, report: Callable[[str], None] = lambda _: None
 ) -> Script:
     """Return the smallest day found that still fails, after `plays` plays at most.
 
     `fails` plays a day and tells whether it fails; `report` is given a line of progress for each smaller day.
     """
     while True:
-        for candidate in candidates(day):
+        for candidate in candidates(script):
             if not has_all_targets(candidate):
                 continue
-            if plays <= 0:
-                return day
-            plays -= 1
+            if max_runs <= 0:
+                return script
+            max_runs -= 1
             if await fails(candidate):
-                day = candidate
-                size = f"{len(day.steps)} faults, {day['edges']} drivers, {day['last'] / US:.1f} s"
-                report(f"{size}; {plays} plays left")
+                script = candidate
+                size = f"{len(script.steps)} faults, {script['edges']} drivers, {script['last'] / US:.1f} s"
+                report(f"{size}; {max_runs} plays left")
                 break
         else:
-            return day
+            return script
--- a/juniperreel/testbed/single_process_trial.py
+++ b/juniperreel/testbed/single_process_trial.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        day: Script,
+        script: Script,
         network: Network,
         directory: Path,
         pause_s: float,
@@ -54,16 +54,16 @@
         `program`: what a driver is started by, with `environment` beside its own variables; `weights`: how
         often sessions ask for each class.
         """
-        self.day = day
+        self.script = script
         self.clock = Clock()
         self.recorder = rec.Recorder()
-        self.names = driver_names(day)
+        self.names = driver_names(script)
         self._network = network
         self._pause_s = pause_s
         self._weights = weights
-        self._rng = random.Random(day["seed"])
+        self._rng = random.Random(script["seed"])
         self._drivers = DriverFleet(
-            day,
+            script,
             self.names,
             network,
             self.clock,
@@ -75,7 +75,7 @@
             environment,
         )
         self.fleet = Fleet(
-            day, network, self.clock, self.recorder, endpoint_list=self._drivers.hosts, platform=True
+            script, network, self.clock, self.recorder, endpoint_list=self._drivers.hosts, platform=True
         )
         self._member_links: MemberLinks | None = None
 
@@ -100,8 +100,8 @@
 
     async def run(self) -> None:
         """Play the day; the drivers have ended afterwards."""
-        mix = request_classes(self.clock.now_us(), self.day["longest-deadline"])
-        self._record_rules(mix)
+        classes = request_classes(self.clock.now_us(), self.script["longest-deadline"])
+        self._record_rules(classes)
         async with trio.open_nursery() as nursery:
             links = Links(self._network, nursery, self._rng.getrandbits(32))
             self._drivers.links = links
@@ -109,38 +109,38 @@
             try:
                 await nursery.start(self.fleet.run)
                 await self._drivers.start()
-                await self._play_day(mix)
+                await self._run_script(classes)
             finally:
                 self.processes.kill_all()
             nursery.cancel_scope.cancel()
 
-    def _record_rules(self, mix: Sequence[rec.RequestClass]) -> None:
-        for request_class in mix:
+    def _record_rules(self, classes: Sequence[rec.RequestClass]) -> None:
+        for request_class in classes:
             self.recorder(request_class)
-        self.recorder(limits(mix[0].at, self.fleet.settings))
+        self.recorder(limits(classes[0].at, self.fleet.settings))
 
-    async def _play_day(self, mix: Sequence[rec.RequestClass]) -> None:
+    async def _run_script(self, classes: Sequence[rec.RequestClass]) -> None:
         """Play faults and sessions until the day's end and the sessions' last answers."""
-        until_us = self.clock.now_us() + self.day["last"]
+        until_us = self.clock.now_us() + self.script["last"]
         async with trio.open_nursery() as faults:
-            faults.start_soon(self.fleet.play, self._play_driver_fault)
+            faults.start_soon(self.fleet.play, self._run_driver_fault)
             async with trio.open_nursery() as sessions:
-                for index in range(self.day["sessions"]):
-                    session = self._new_session(index, mix)
+                for index in range(self.script["sessions"]):
+                    session = self._new_session(index, classes)
                     sessions.start_soon(session.run, until_us, self._pause_s)
             faults.cancel_scope.cancel()
 
-    def _new_session(self, index: int, mix: Sequence[rec.RequestClass]) -> PlatformSession:
-        group = index % self.day["groups"]
-        return self._drivers.session(f"s{index}", index, group, mix, self._weights, self.session_class)
+    def _new_session(self, index: int, classes: Sequence[rec.RequestClass]) -> PlatformSession:
+        group = index % self.script["groups"]
+        return self._drivers.session(f"s{index}", index, group, classes, self._weights, self.session_class)
 
-    async def _play_driver_fault(self, step: Step) -> None:
+    async def _run_driver_fault(self, step: Step) -> None:
         """Play a fault of drivers or of any of their links, to its end."""
         if step.fault.startswith("link-") and step.other != DISCOVERY:
             assert self._member_links is not None
-            await self._member_links.play_fault(step, targeted_drivers(self.day, step))
+            await self._member_links.run_fault(step, targeted_drivers(self.script, step))
         else:
-            await self._drivers.play_fault(step)
+            await self._drivers.run_fault(step)
 
     async def _member_port(self, driver: str, member: str) -> int:
         assert self._member_links is not None
--- a/juniperreel/testbed/soak/__main__.py
+++ b/juniperreel/testbed/soak/__main__.py
@@ -16,9 +16,9 @@
 
 from juniperreel.net import TcpNetwork
 from juniperreel.testbed.injected_faults import FaultKind
-from juniperreel.testbed.soak.oracle import LONGEST_LAG, SoakReport
+from juniperreel.testbed.soak.oracle import MAX_LOOP_LAG, SoakReport
 from juniperreel.testbed.soak.plan import FAULT_RATES
-from juniperreel.testbed.soak.run import play_soak
+from juniperreel.testbed.soak.run import run_soak
 
 MAX_VIOLATIONS_SHOWN = 12
 
@@ -43,7 +43,7 @@
     verdict = "passed" if report.passed else "FAILED"
     print(f"seed {report.seed}: {verdict}, {served}, {len(report.violations)} violations", flush=True)
     if report.violations:
-        print(f"    {counts[LONGEST_LAG]} {LONGEST_LAG}", flush=True)
+        print(f"    {counts[MAX_LOOP_LAG]} {MAX_LOOP_LAG}", flush=True)
     for text in report.violations[:MAX_VIOLATIONS_SHOWN]:
         print(f"    {text}", flush=True)
     if report.missing:
@@ -66,8 +66,8 @@
         directory = root / str(seed)
         shutil.rmtree(directory, ignore_errors=True)
         directory.mkdir(parents=True)
-        last_ms = int(arguments.seconds * 1000)
-        report = trio.run(play_soak, seed, arguments.drivers, last_ms, TcpNetwork(), directory, rates)
+        duration_ms = int(arguments.seconds * 1000)
+        report = trio.run(run_soak, seed, arguments.drivers, duration_ms, TcpNetwork(), directory, rates)
         _show(report, arguments.counts)
         if report.passed:
             shutil.rmtree(directory)
--- a/juniperreel/testbed/soak/crowd.py
+++ b/juniperreel/testbed/soak/idle_clients.py
@@ -7,29 +7,29 @@
 from juniperreel.fakes.platform_clients import READ_BYTES
 from juniperreel.postgres import messages
 from juniperreel.testbed.soak.reconnecting import use_connections
-from juniperreel.testbed.soak.requests import HELLO, ClientNotes, FindDriver
+from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, ClientObservations, FindDriver
 
-RECONNECT_S = 3.0  # all of them connect in one process, which must not be late for the others
+RECONNECT_DELAY_S = 3.0  # all of them connect in one process, which must not be late for the others
 EMPTY_QUERY = messages.query(b"")
 
 
 class IdleClient:
     """One idle client: sends an empty query, so that it counts as one that asked, and rests until its end."""
 
-    def __init__(self, notes: ClientNotes, find_driver: FindDriver) -> None:
+    def __init__(self, observations: ClientObservations, find_driver: FindDriver) -> None:
         """`find_driver` names a driver that takes clients."""
-        self._notes = notes
+        self._observations = observations
         self._find_driver = find_driver
 
     async def run(self) -> None:
         """Rest at one driver after another until cancelled."""
-        await use_connections(self._find_driver, self._rest, RECONNECT_S)
+        await use_connections(self._find_driver, self._stay_idle, RECONNECT_DELAY_S)
 
-    async def _rest(self, stream: trio.SocketStream, _driver: str) -> None:
+    async def _stay_idle(self, stream: trio.SocketStream, _driver: str) -> None:
         try:
-            await stream.send_all(HELLO + EMPTY_QUERY)
+            await stream.send_all(STARTUP_MESSAGE + EMPTY_QUERY)
             while await stream.receive_some(READ_BYTES):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self._notes.counts["idle clients that were ended"] += 1
+        self._observations.counts["idle clients that were ended"] += 1
--- a/juniperreel/testbed/soak/loop_lag.py
+++ b/juniperreel/testbed/soak/loop_lag.py
@@ -13,7 +13,7 @@
 LAG_INTERVAL_S = 0.02
 LAG_MEMORY_US = 5_000_000
 # A request is sent in one turn of the loop, its answer or its connection's end noticed and read in two.
-LATE_TURNS = 3
+LOOP_ITERATIONS_PER_ANSWER = 3
 
 
 class LagSample(NamedTuple):
@@ -29,7 +29,7 @@
     def __init__(self, clock: Clock) -> None:
         """Measure nothing yet; `run` must be running."""
         self._clock = clock
-        self.longest_us = 0  # of all samples
+        self.max_us = 0  # of all samples
         self._samples: deque[LagSample] = deque()
         self._due_us = clock.now_us()  # when the next sample is due
 
@@ -39,17 +39,17 @@
             self._due_us = self._clock.now_us() + int(LAG_INTERVAL_S * US)
             await trio.sleep(LAG_INTERVAL_S)
             now_us = self._clock.now_us()
-            self.longest_us = max(self.longest_us, now_us - self._due_us)
+            self.max_us = max(self.max_us, now_us - self._due_us)
             self._samples.append(LagSample(now_us, now_us - self._due_us))
             while self._samples[0].at_us < now_us - LAG_MEMORY_US:
                 self._samples.popleft()
 
-    def worst_us(self, since_us: int) -> int:
+    def max_since_us(self, since_us: int) -> int:
         """Return the longest time by which it was late since then, or is late now."""
-        late_now_us = self._clock.now_us() - self._due_us
+        current_lag_us = self._clock.now_us() - self._due_us
         samples_us = (sample.late_us for sample in self._samples if sample.at_us >= since_us)
-        return max(0, late_now_us, *samples_us)  # the next sample may not be due yet
+        return max(0, current_lag_us, *samples_us)  # the next sample may not be due yet
 
     def tolerance_us(self, since_us: int) -> int:
         """Return by how much what a client saw since then may be dated too late."""
-        return LATE_TURNS * self.worst_us(since_us)
+        return LOOP_ITERATIONS_PER_ANSWER * self.max_since_us(since_us)
--- a/juniperreel/testbed/soak/oracle.py
+++ b/juniperreel/testbed/soak/oracle.py
@@ -16,18 +16,18 @@
 from juniperreel.testbed.hold_ups import read_hold_ups
 from juniperreel.testbed.injected_faults import FaultKind, SharedCounts
 from juniperreel.testbed.run_queue import RunQueueWaits
-from juniperreel.testbed.soak.requests import ClientNotes
+from juniperreel.testbed.soak.requests import ClientObservations
 from juniperreel.testbed.soak.timeliness import DriverDelays, late_answers
 from juniperreel.verification import records as rec
 from juniperreel.verification.history import CROSS_SOCKET_TOLERANCE_US, History
 from juniperreel.verification.rules import RULES
 
-FINAL_ANSWER = 1  # numbers of rules
-STALE_READ = 5
+FINAL_ANSWER_RULE = 1  # numbers of rules
+STALE_READ_RULE = 5
 # An attempt that begins so long after its client has closed is a lost request.
-ATTEMPT_AFTER_LEAVING_US = 100_000
+ATTEMPT_AFTER_DISCONNECT_US = 100_000
 # How late the soak's own loop was at the worst: its clients see answers as late that came in time.
-LONGEST_LAG = "longest lag of the soak's own loop, in microseconds"
+MAX_LOOP_LAG = "longest lag of the soak's own loop, in microseconds"
 # Log lines that a driver writes of its own faults.
 FAULT_EVENTS = (
     "rule violated",
@@ -88,10 +88,10 @@
         return not self.violations and not self.missing
 
 
-def judge(
+def check_soak(
     seed: int,
     records: Sequence[rec.Record],
-    notes: ClientNotes,
+    observations: ClientObservations,
     logs: Iterable[Path],
     counts_directory: Path,
     exits: Sequence[ExitStatus],
@@ -99,7 +99,7 @@
     clock_offset_us: int = 0,
     waits: RunQueueWaits | None = None,
     has_crowd: bool = False,
-    longest_lag_us: int = 0,
+    max_loop_lag_us: int = 0,
 ) -> SoakReport:
     """Put together the report of one soak. `crashed`: drivers that ended though nobody told them to.
 
@@ -108,20 +108,20 @@
     """
     report = SoakReport(seed)
     lines = [line for path in logs for line in _log_lines(path)]
-    report.violations += _broken_rules(records, notes)
-    report.violations += _attempts_after_clients_left(records, notes)
-    report.violations += _lost_crossings(records, notes, lines)
+    report.violations += _rule_violations(records, observations)
+    report.violations += _attempts_after_disconnect(records, observations)
+    report.violations += _accepted_but_unanswered(records, observations, lines)
     delays = DriverDelays(read_hold_ups(counts_directory), waits or RunQueueWaits(), clock_offset_us)
-    report.violations += late_answers(notes.awaited, delays)
-    report.violations += notes.violations
+    report.violations += late_answers(observations.awaited, delays)
+    report.violations += observations.violations
     report.violations += [json.dumps(line)[:600] for line in lines if line["event"] in FAULT_EVENTS]
     report.violations += [f"{name} ended by itself" for name in crashed]
     report.violations += [
         f"{exit.driver} ended with status {exit.status} {exit.details}" for exit in exits if exit.status
     ]
     expected = [*EVIDENCE_IN_COUNTS, EVIDENCE_OF_A_CROWD] if has_crowd else EVIDENCE_IN_COUNTS
-    _count(report, records, notes, lines, counts_directory, expected)
-    report.counts[LONGEST_LAG] = longest_lag_us
+    _count(report, records, observations, lines, counts_directory, expected)
+    report.counts[MAX_LOOP_LAG] = max_loop_lag_us
     return report
 
 
@@ -131,23 +131,23 @@
             yield json.loads(line)
 
 
-def _broken_rules(records: Sequence[rec.Record], notes: ClientNotes) -> Iterator[str]:
+def _rule_violations(records: Sequence[rec.Record], observations: ClientObservations) -> Iterator[str]:
     """The five rules. Requests of clients that left are owed no answer, and crossed ones are judged apart."""
     asked = {record.request_id for record in records if isinstance(record, rec.RequestSent)}
     for number, rule in RULES.items():
         seen = records
-        if number == FINAL_ANSWER:
-            owed = {None, *(asked - set(notes.crossed))}
+        if number == FINAL_ANSWER_RULE:
+            owed = {None, *(asked - set(observations.unanswered_at_close))}
             tolerances = {
-                answer.request_id: answer.tolerance_us for answer in notes.awaited if answer.answered
+                answer.request_id: answer.tolerance_us for answer in observations.awaited if answer.answered
             }
             seen = [
                 _with_tolerance(record, tolerances)
                 for record in records
                 if getattr(record, "request_id", None) in owed
             ]
-        elif number == STALE_READ:
-            seen = [r for r in records if getattr(r, "request_id", None) not in notes.unusual]
+        elif number == STALE_READ_RULE:
+            seen = [r for r in records if getattr(r, "request_id", None) not in observations.sessionless]
         for violation in rule.check(History.of(seen)):
             yield f"rule {number}: {violation.text} at {violation.record.at}"
 
@@ -159,22 +159,24 @@
     return msgspec.structs.replace(record, deadline=record.deadline + tolerances[record.request_id])
 
 
-def _attempts_after_clients_left(records: Iterable[rec.Record], notes: ClientNotes) -> Iterator[str]:
-    left_us = {left.request_id: left.at_us for left in notes.left}
+def _attempts_after_disconnect(
+    records: Iterable[rec.Record], observations: ClientObservations
+) -> Iterator[str]:
+    disconnected_us = {disconnect.request_id: disconnect.at_us for disconnect in observations.disconnects}
     for record in records:
-        if isinstance(record, rec.AttemptReceived) and record.request_id in left_us:
-            late_us = record.at - left_us[record.request_id]
-            if late_us > ATTEMPT_AFTER_LEAVING_US + CROSS_SOCKET_TOLERANCE_US:
+        if isinstance(record, rec.AttemptReceived) and record.request_id in disconnected_us:
+            late_us = record.at - disconnected_us[record.request_id]
+            if late_us > ATTEMPT_AFTER_DISCONNECT_US + CROSS_SOCKET_TOLERANCE_US:
                 yield f"{record.request_id} was sent {late_us} us after its client had left"
 
 
-def _lost_crossings(
-    records: Iterable[rec.Record], notes: ClientNotes, lines: Iterable[dict[str, Any]]
+def _accepted_but_unanswered(
+    records: Iterable[rec.Record], observations: ClientObservations, lines: Iterable[dict[str, Any]]
 ) -> Iterator[str]:
     """Requests whose connection ended unanswered although the driver had read them."""
     sent = {record.request_id for record in records if isinstance(record, rec.AttemptReceived)}
     taken = {line["request"] for line in lines if line["event"] in READ_EVENTS}
-    for request_id, driver in notes.crossed.items():
+    for request_id, driver in observations.unanswered_at_close.items():
         if request_id in sent or request_id in taken:
             yield f"{request_id} was taken by {driver} and its connection ended without an answer"
 
@@ -182,7 +184,7 @@
 def _count(
     report: SoakReport,
     records: Iterable[rec.Record],
-    notes: ClientNotes,
+    observations: ClientObservations,
     lines: Sequence[dict[str, Any]],
     counts_directory: Path,
     expected_counts: Sequence[tuple[str, str]],
@@ -200,12 +202,12 @@
         **{f"injected: {kind.value}": injected[kind] for kind in FaultKind},
         **{f"log: {event}": events[event] for event in EVIDENCE_IN_LOGS},
         **{f"{group}: {name}": counted[f"{group}: {name}"] for group, name in expected_counts},
-        **{f"client: {kind}": notes.counts[kind] for kind in EVIDENCE_IN_CLIENTS},
+        **{f"client: {kind}": observations.counts[kind] for kind in EVIDENCE_IN_CLIENTS},
     }
     report.missing += [name for name, count in evidence.items() if not count]
     report.counts.update(evidence)
     responses = [record for record in records if isinstance(record, rec.ResponseReceived)]
     report.counts["requests answered"] = len(responses)
     report.counts["requests served"] = sum(record.status == 0 for record in responses)
-    report.counts["requests given up"] = sum(not awaited.answered for awaited in notes.awaited)
-    report.counts["requests crossed an end"] = len(notes.crossed)
+    report.counts["requests given up"] = sum(not awaited.answered for awaited in observations.awaited)
+    report.counts["requests crossed an end"] = len(observations.unanswered_at_close)
--- a/juniperreel/testbed/soak/persistent_clients.py
+++ b/juniperreel/testbed/soak/persistent_clients.py
@@ -16,15 +16,15 @@
 from juniperreel.postgres import messages
 from juniperreel.testbed.soak.loop_lag import LoopLag
 from juniperreel.testbed.soak.reconnecting import use_connections
-from juniperreel.testbed.soak.requests import HELLO, FindDriver, SoakRequests
+from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, FindDriver, SoakRequests
 from juniperreel.verification import records as rec
 
 PAUSE_S = 0.06  # mean, between two sends of one client
 MAX_UNANSWERED = 40
 MAX_BURST = 5  # requests that are sent at once
-RECONNECT_S = 0.1
+RECONNECT_DELAY_S = 0.1
 # Between a driver's last look at a connection and its end; where drivers are held up, that comes on top.
-CROSSING_US = 50_000
+CLOSE_RACE_US = 50_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,18 +46,18 @@
         self._requests = requests
         self._find_driver = find_driver
         self._lag = lag
-        self._crossing_us = CROSSING_US + hold_up_us
+        self._close_race_us = CLOSE_RACE_US + hold_up_us
         self._rng = random.Random(seed)
 
     async def run(self) -> None:
         """Send until cancelled."""
-        await use_connections(self._find_driver, self._use, RECONNECT_S)
+        await use_connections(self._find_driver, self._use, RECONNECT_DELAY_S)
 
     async def _use(self, stream: trio.SocketStream, driver: str) -> None:
-        with self._requests.notes.conversation():
+        with self._requests.observations.track_connection():
             connection = _Connection(self._requests, driver, stream, self._rng)
             await connection.run()
-            connection.judge_end(self._lag, self._crossing_us)
+            connection.check_close(self._lag, self._close_race_us)
 
 
 class _Connection:
@@ -73,7 +73,7 @@
         self._session = requests.new_session()
         self._unanswered: deque[SentRequest] = deque()
         self._received = b""
-        self._is_welcomed = False
+        self._is_started = False
 
     async def run(self) -> None:
         """Send and read until the connection ends."""
@@ -84,7 +84,7 @@
 
     async def _send(self) -> None:
         try:
-            await self._stream.send_all(HELLO)
+            await self._stream.send_all(STARTUP_MESSAGE)
             while True:
                 for _ in range(self._rng.choice((1, 1, 1, MAX_BURST))):
                     if len(self._unanswered) < MAX_UNANSWERED:
@@ -95,10 +95,10 @@
 
     async def _send_request(self) -> None:
         requests = self._requests
-        request_class = self._rng.choice((requests.board, requests.own, requests.write))
+        request_class = self._rng.choice((requests.bounded_read, requests.session_read, requests.write))
         request_id = requests.new_id()
         now_us = requests.clock.now_us()
-        requests.record_asked(now_us, self._driver, request_class, request_id, self._session)
+        requests.record_sent(now_us, self._driver, request_class, request_id, self._session)
         self._unanswered.append(SentRequest(request_class, request_id, now_us))
         await self._stream.send_all(requests.query(request_class, request_id, self._session))
 
@@ -106,45 +106,48 @@
         try:
             while data := await self._stream.receive_some(READ_BYTES):
                 self._received += bytes(data)
-                self._take_answers()
+                self._process_answers()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
-    def _take_answers(self) -> None:
+    def _process_answers(self) -> None:
         *answers, self._received = self._received.split(messages.READY)
         for answer in answers:
-            if not self._is_welcomed:
-                self._is_welcomed = True
+            if not self._is_started:
+                self._is_started = True
                 continue
             if not self._unanswered:
-                self._requests.notes.violations.append(f"{self._driver} answered what nobody asked")
+                self._requests.observations.violations.append(f"{self._driver} answered what nobody asked")
                 return
             sent = self._unanswered.popleft()
-            self._requests.judge_answer(self._driver, sent.request_class, sent.request_id, answer)
-            self._requests.notes.counts["answers to clients that keep sending"] += 1
+            self._requests.check_answer(self._driver, sent.request_class, sent.request_id, answer)
+            self._requests.observations.counts["answers to clients that keep sending"] += 1
 
-    def judge_end(self, lag: LoopLag, crossing_us: int) -> None:
+    def check_close(self, lag: LoopLag, close_race_us: int) -> None:
         """Judge what has no answer, now that the connection has ended.
 
         What was sent within `crossing_us` of its end, and of this process's own delay, may have crossed it.
         """
         requests = self._requests
         ended_us = requests.clock.now_us()
-        if not self._is_welcomed:
-            return self._judge_unwelcomed()
+        if not self._is_started:
+            return self._check_closed_before_startup()
         for sent in self._unanswered:
-            requests.judge_unanswered(self._driver, sent.request_id, True, sent.at_us)
-            early_us = ended_us - sent.at_us
-            tolerance_us = crossing_us + lag.tolerance_us(sent.at_us)
-            if sent.request_id in requests.notes.crossed and early_us > tolerance_us:
-                requests.notes.violations.append(
-                    f"{sent.request_id} was sent to {self._driver} {early_us} us before its connection ended"
-                    f" at {ended_us}, tolerated {tolerance_us}"
+            requests.check_unanswered(self._driver, sent.request_id, True, sent.at_us)
+            before_close_us = ended_us - sent.at_us
+            tolerance_us = close_race_us + lag.tolerance_us(sent.at_us)
+            if (
+                sent.request_id in requests.observations.unanswered_at_close
+                and before_close_us > tolerance_us
+            ):
+                requests.observations.violations.append(
+                    f"{sent.request_id} was sent to {self._driver} {before_close_us} us"
+                    f" before its connection ended at {ended_us}, tolerated {tolerance_us}"
                 )
-        requests.notes.counts["kept sending until the end"] += 1
+        requests.observations.counts["kept sending until the end"] += 1
         return None
 
-    def _judge_unwelcomed(self) -> None:
+    def _check_closed_before_startup(self) -> None:
         """Judge requests on a connection that ended before the first answer: without descriptors it may."""
         for sent in self._unanswered:
-            self._requests.judge_unanswered(self._driver, sent.request_id, True, sent.at_us)
+            self._requests.check_unanswered(self._driver, sent.request_id, True, sent.at_us)
--- a/juniperreel/testbed/soak/plan.py
+++ b/juniperreel/testbed/soak/plan.py
@@ -19,8 +19,8 @@
 cold-span 3s
 ask-every 4s
 longest-deadline {deadline_ms}ms
-crowd {crowd}
-last {last_ms}ms
+crowd {idle_clients}
+last {duration_ms}ms
 """
 SESSIONS_PER_DRIVER = 2
 FIRST_FAULT_MS = 700
@@ -61,14 +61,15 @@
     "edge-kill edge/random:10% back 300ms",
 )
 # Replicas apply nothing for so long: what a read may lack, and the checker's slack, is 0.8 s together.
-STALE_MS = (2_000, 3_500)
-REPEATED = 4  # faults that are drawn a second time
+REPLICA_LAG_MS = (2_000, 3_500)
+REPEATED_FAULTS = 4  # faults that are drawn a second time
 
 LONG_DEADLINE_MS = 8_000
 SHORT_DEADLINES_MS = (500, 2_200)  # the kill comes soon after SIGTERM then
-SHORT_DEADLINES_PART = 0.6  # of all plans
-CROWD = 95  # idle clients for each driver: more than the descriptors that it has for clients then
-CROWD_PART = 0.25
+SHORT_DEADLINES_FRACTION = 0.6  # of all plans
+# More than the descriptors that a driver has for clients in a plan with idle clients.
+IDLE_CLIENTS_PER_DRIVER = 95
+CROWD_FRACTION = 0.25
 
 FAULT_RATES: Mapping[FaultKind, float] = {
     FaultKind.ACCEPT: 0.05,
@@ -88,27 +89,27 @@
 }
 
 
-def draw_plan(seed: int, drivers: int, last_ms: int) -> Script:
+def draw_plan(seed: int, drivers: int, duration_ms: int) -> Script:
     """The same script for the same arguments."""
-    rng = random.Random(f"{seed} {drivers} {last_ms}")
-    has_short_deadlines = rng.random() < SHORT_DEADLINES_PART
-    has_crowd = rng.random() < CROWD_PART
+    rng = random.Random(f"{seed} {drivers} {duration_ms}")
+    has_short_deadlines = rng.random() < SHORT_DEADLINES_FRACTION
+    has_crowd = rng.random() < CROWD_FRACTION
     settings = SETTINGS.format(
         drivers=drivers,
         sessions=SESSIONS_PER_DRIVER * drivers,
         seed=seed,
         deadline_ms=rng.randint(*SHORT_DEADLINES_MS) if has_short_deadlines else LONG_DEADLINE_MS,
-        crowd=CROWD if has_crowd else 0,
-        last_ms=last_ms,
+        idle_clients=IDLE_CLIENTS_PER_DRIVER if has_crowd else 0,
+        duration_ms=duration_ms,
     )
     lines = [settings]
     faults = [*EARLY_FAULTS, *MEMBER_FAULTS, *LINK_FAULTS, *DRIVER_FAULTS]
-    for fault in faults + rng.sample(faults, REPEATED):
+    for fault in faults + rng.sample(faults, REPEATED_FAULTS):
         before_end_ms = LAST_EARLY_FAULT_BEFORE_END_MS if fault in EARLY_FAULTS else LAST_FAULT_BEFORE_END_MS
-        at_ms = rng.randrange(FIRST_FAULT_MS, last_ms - before_end_ms)
+        at_ms = rng.randrange(FIRST_FAULT_MS, duration_ms - before_end_ms)
         text = fault.format(
             short=f"{rng.randrange(200, 1_000)}ms",
-            stale=f"{rng.randrange(*STALE_MS)}ms",
+            stale=f"{rng.randrange(*REPLICA_LAG_MS)}ms",
             long=f"{rng.randrange(800, 3_000)}ms",
             group=rng.randrange(2),
         )
--- a/juniperreel/testbed/soak/requests.py
+++ b/juniperreel/testbed/soak/requests.py
@@ -18,10 +18,10 @@
 from juniperreel.verification import records as rec
 
 # Many connections write and read each row: a replica that lags soon lacks writes that a read must show.
-SHARED_ROWS = 4  # of a group
-LATE_US = 550_000  # an answer up to so late is only worth nothing
-HELLO = messages.startup("worker", "catalog")
-ANSWERED_ROW = re.compile(rb"(?P<member>g\d+-m\d+)\|(?P<ids>[0-9a-f,]*)")
+SHARED_ROWS_PER_GROUP = 4  # of a group
+MAX_ANSWER_DELAY_US = 550_000  # an answer up to so late is only worth nothing
+STARTUP_MESSAGE = messages.startup("worker", "catalog")
+ANSWER_ROW = re.compile(rb"(?P<member>g\d+-m\d+)\|(?P<ids>[0-9a-f,]*)")
 
 FindDriver = Callable[[], EdgeAddress | None]
 WasKilled = Callable[[str, int], bool]  # whether a driver was killed since a time
@@ -36,13 +36,13 @@
     group: int
 
     @classmethod
-    def of_one_request(cls, request_id: str) -> Session:
+    def for_single_request(cls, request_id: str) -> Session:
         """Return the session of a request that has a row of its own."""
         return cls(request_id, request_id, group=0)
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnect:
     """A client closed its connection while a request of its was open."""
 
     request_id: str
@@ -50,29 +50,29 @@
 
 
 @dataclass(slots=True)
-class ClientNotes:
+class ClientObservations:
     """What clients saw.
 
     `crossed`: requests that met the end of their connection unanswered, with their driver. `unusual`: those
     of no session, each with a row of its own. `conversations`: connections that are not judged yet.
     """
 
-    crossed: dict[str, str] = field(default_factory=dict)
-    left: list[ClientLeft] = field(default_factory=list)
-    unusual: set[str] = field(default_factory=set)
+    unanswered_at_close: dict[str, str] = field(default_factory=dict)
+    disconnects: list[ClientDisconnect] = field(default_factory=list)
+    sessionless: set[str] = field(default_factory=set)
     violations: list[str] = field(default_factory=list)
     awaited: list[AwaitedAnswer] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
-    conversations: int = 0
+    pending_connections: int = 0
 
     @contextmanager
-    def conversation(self) -> Iterator[None]:
+    def track_connection(self) -> Iterator[None]:
         """A connection whose requests are judged when the block ends."""
-        self.conversations += 1
+        self.pending_connections += 1
         try:
             yield
         finally:
-            self.conversations -= 1
+            self.pending_connections -= 1
 
 
 class SoakRequests:
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        notes: ClientNotes,
+        observations: ClientObservations,
         was_killed: WasKilled,
         classes: Sequence[rec.RequestClass],
         clock: Clock,
@@ -91,9 +91,9 @@
         rng: random.Random,
     ) -> None:
         """`was_killed` excuses a driver; `deadline_ms` is what each request tells it."""
-        self.notes = notes
+        self.observations = observations
         self.was_killed = was_killed
-        self.board, self.own, self.write = classes
+        self.bounded_read, self.session_read, self.write = classes
         self.clock = clock
         self.deadline_ms = deadline_ms
         self._groups = groups
@@ -109,7 +109,7 @@
     def new_session(self) -> Session:
         """Draw a session; it belongs to one connection."""
         group = self._rng.randrange(self._groups)
-        row = f"shared{group}.{self._rng.randrange(SHARED_ROWS)}"
+        row = f"shared{group}.{self._rng.randrange(SHARED_ROWS_PER_GROUP)}"
         return Session(self.new_id(), row, group)
 
     def query(
@@ -120,12 +120,12 @@
         deadline_ms: int | None = None,
     ) -> bytes:
         """Return the message that asks for it; without a session it has a row of its own."""
-        session = session or Session.of_one_request(request_id)
+        session = session or Session.for_single_request(request_id)
         deadline_ms = self.deadline_ms if deadline_ms is None else deadline_ms
         text = statement(request_class, request_id, session.row, session.group, deadline_ms)
         return messages.query(text.encode())
 
-    def record_asked(
+    def record_sent(
         self,
         now_us: int,
         driver: str,
@@ -135,10 +135,10 @@
     ) -> None:
         """Record that it is sent now."""
         if session is None:
-            self.notes.unusual.add(request_id)
-            session = Session.of_one_request(request_id)
+            self.observations.sessionless.add(request_id)
+            session = Session.for_single_request(request_id)
         self._sent_us[request_id] = now_us
-        deadline_us = now_us + self.deadline_ms * 1000 + LATE_US
+        deadline_us = now_us + self.deadline_ms * 1000 + MAX_ANSWER_DELAY_US
         self._record(
             rec.RequestSent(
                 now_us,
@@ -154,25 +154,27 @@
             )
         )
 
-    def judge_answer(
+    def check_answer(
         self, driver: str, request_class: rec.RequestClass, request_id: str, answer: bytes
     ) -> None:
         """Record an answer; one that belongs to another request is a violation."""
         served = answer.startswith(b"T")
         now_us = self.clock.now_us()
         sent_us = self._sent_us.pop(request_id)
-        self.note_awaited(driver, request_id, sent_us, self.deadline_ms, answered=True)
+        self.add_awaited_answer(driver, request_id, sent_us, self.deadline_ms, answered=True)
         status = STATUS_OK if served else STATUS_UNKNOWN
-        endpoint, ids = _answered_row(answer) if served else ("", [])
+        endpoint, ids = _parse_answer_row(answer) if served else ("", [])
         self._record(rec.ResponseReceived(now_us, request_id, 0, status, endpoint=endpoint, rows=ids))
         if served and request_class.write and request_id.encode() not in answer:
-            self.notes.violations.append(f"the answer to {request_id} of {driver} is another request's")
+            self.observations.violations.append(
+                f"the answer to {request_id} of {driver} is another request's"
+            )
 
-    def note_awaited(
+    def add_awaited_answer(
         self, driver: str, request_id: str, sent_us: int, deadline_ms: int, answered: bool
     ) -> None:
         """Note that a request was answered now, or that its client gives it up."""
-        self.notes.awaited.append(
+        self.observations.awaited.append(
             AwaitedAnswer(
                 request_id,
                 driver,
@@ -183,20 +185,20 @@
             )
         )
 
-    def judge_unanswered(self, driver: str, request_id: str, ended: bool, sent_us: int) -> None:
+    def check_unanswered(self, driver: str, request_id: str, ended: bool, sent_us: int) -> None:
         """Judge a request without an answer, whose connection `ended` or not."""
         if self.was_killed(driver, sent_us):
             now_us = self.clock.now_us()
             self._record(rec.ResponseReceived(now_us, request_id, 0, STATUS_UNKNOWN, local=True))
         elif ended:
-            self.notes.crossed[request_id] = driver
+            self.observations.unanswered_at_close[request_id] = driver
         else:
-            self.notes.violations.append(f"{request_id} had no answer of {driver}, nor an end")
+            self.observations.violations.append(f"{request_id} had no answer of {driver}, nor an end")
 
 
-def _answered_row(answer: bytes) -> tuple[str, list[str]]:
+def _parse_answer_row(answer: bytes) -> tuple[str, list[str]]:
     """The member that answered, and the writes that it showed."""
-    found = ANSWERED_ROW.search(answer)
+    found = ANSWER_ROW.search(answer)
     if found is None:
         return "", []
     ids = found["ids"].decode()
--- a/juniperreel/testbed/soak/run.py
+++ b/juniperreel/testbed/soak/run.py
@@ -21,23 +21,23 @@
 from juniperreel.testbed.scenario import CLASS_WEIGHTS
 from juniperreel.testbed.single_process_trial import SingleProcessTrial
 from juniperreel.testbed.soak.clients import MisbehavingClients, SoakSession
-from juniperreel.testbed.soak.crowd import IdleClient
+from juniperreel.testbed.soak.idle_clients import IdleClient
 from juniperreel.testbed.soak.loop_lag import LoopLag
-from juniperreel.testbed.soak.oracle import SoakReport, judge
+from juniperreel.testbed.soak.oracle import SoakReport, check_soak
 from juniperreel.testbed.soak.persistent_clients import PersistentClient
 from juniperreel.testbed.soak.plan import FAULT_RATES, draw_plan
-from juniperreel.testbed.soak.punctual_clients import PunctualClient
-from juniperreel.testbed.soak.requests import LATE_US, ClientNotes, SoakRequests
+from juniperreel.testbed.soak.requests import MAX_ANSWER_DELAY_US, ClientObservations, SoakRequests
+from juniperreel.testbed.soak.short_deadline_clients import ShortDeadlineClient
 from juniperreel.verification import records as rec
 
 FAULTY_DRIVER_PROGRAM = ("-m", "juniperreel.testbed.faulty_driver")
 PAUSE_S = 0.15  # mean, between two requests of a session
 MISBEHAVING_TASKS = 3
 PERSISTENT_CLIENTS_PER_DRIVER = 1
-PUNCTUAL_CLIENTS_PER_DRIVER = 1
+SHORT_DEADLINE_CLIENTS_PER_DRIVER = 1
 MAX_DEADLINE_MS = 4_000  # of unusual clients' requests
-SETTLE_S = 5.0  # for clients to judge the ends of their connections
-SETTLE_POLL_S = 0.02
+CLOSE_CHECK_TIMEOUT_S = 5.0  # for clients to judge the ends of their connections
+CLOSE_CHECK_POLL_S = 0.02
 
 
 class SoakTrial(SingleProcessTrial):
@@ -47,97 +47,99 @@
 
     def __init__(
         self,
-        day: Script,
+        script: Script,
         network: Network,
         directory: Path,
         rates: Mapping[FaultKind, float],
         program: Sequence[str] = FAULTY_DRIVER_PROGRAM,
     ) -> None:
         """`directory` keeps settings, logs and counts."""
-        self.notes = ClientNotes()
+        self.observations = ClientObservations()
         self.crashed: list[str] = []
         self._directory = directory
-        holds_up = rates.get(FaultKind.HOLD_UP) or rates.get(FaultKind.HOLD_UP_IN_WAIT)
-        self._hold_up_us = int(MAX_HOLD_UP_S * US) if holds_up else 0
+        injects_hold_ups = rates.get(FaultKind.HOLD_UP) or rates.get(FaultKind.HOLD_UP_IN_WAIT)
+        self._hold_up_us = int(MAX_HOLD_UP_S * US) if injects_hold_ups else 0
         faults = {
             "rates": {kind.value: rate for kind, rate in rates.items()},
-            "seed": day["seed"],
+            "seed": script["seed"],
             "counts": str(directory),
         }
         environment = {FAULTS_VARIABLE: json.dumps(faults), "JUNIPERREEL_TRACE": "1"}
-        super().__init__(day, network, directory, PAUSE_S, program, CLASS_WEIGHTS, environment)
+        super().__init__(script, network, directory, PAUSE_S, program, CLASS_WEIGHTS, environment)
         self._lag = LoopLag(self.clock)
         self._run_queue = RunQueueRecorder(self.processes.by_name)
 
     def report(self) -> SoakReport:
         """Judge what was played."""
         logs = [process.log for process in self.processes.by_name.values()]
-        return judge(
-            self.day["seed"],
+        return check_soak(
+            self.script["seed"],
             self.recorder.records,
-            self.notes,
+            self.observations,
             logs,
             self._directory,
             self._drivers.exit_statuses,
             self.crashed,
             self.clock.now_us() - monotonic_us(),
             self._run_queue.waits,
-            has_crowd=bool(self.day["crowd"]),
-            longest_lag_us=self._lag.longest_us,
+            has_crowd=bool(self.script["crowd"]),
+            max_loop_lag_us=self._lag.max_us,
         )
 
-    async def _play_day(self, mix: Sequence[rec.RequestClass]) -> None:
+    async def _run_script(self, classes: Sequence[rec.RequestClass]) -> None:
         async with trio.open_nursery() as nursery:
-            self._start_unusual_clients(nursery, mix)
-            await super()._play_day(mix)
-            self._note_crashes()
+            self._start_extra_clients(nursery, classes)
+            await super()._run_script(classes)
+            self._record_crashes()
             await self._drivers.shut_down_all()
-            with trio.move_on_after(SETTLE_S):
-                while self.notes.conversations:
-                    await trio.sleep(SETTLE_POLL_S)
+            with trio.move_on_after(CLOSE_CHECK_TIMEOUT_S):
+                while self.observations.pending_connections:
+                    await trio.sleep(CLOSE_CHECK_POLL_S)
             nursery.cancel_scope.cancel()
 
-    def _start_unusual_clients(self, nursery: trio.Nursery, mix: Sequence[rec.RequestClass]) -> None:
+    def _start_extra_clients(self, nursery: trio.Nursery, classes: Sequence[rec.RequestClass]) -> None:
         nursery.start_soon(self._lag.run)
         nursery.start_soon(self._run_queue.run)
         for _ in range(MISBEHAVING_TASKS):
             misbehaving = MisbehavingClients(
-                self._new_requests(mix), self._find_driver, self._rng.getrandbits(32)
+                self._new_requests(classes), self._find_driver, self._rng.getrandbits(32)
             )
             nursery.start_soon(misbehaving.run)
         for _ in range(PERSISTENT_CLIENTS_PER_DRIVER * len(self.names)):
             persistent = PersistentClient(
-                self._new_requests(mix),
+                self._new_requests(classes),
                 self._find_driver,
                 self._lag,
                 self._hold_up_us,
                 self._rng.getrandbits(32),
             )
             nursery.start_soon(persistent.run)
-        for _ in range(PUNCTUAL_CLIENTS_PER_DRIVER * len(self.names)):
-            punctual = PunctualClient(self._new_requests(mix), self._find_driver, self._rng.getrandbits(32))
-            nursery.start_soon(punctual.run)
-        for _ in range(self.day["crowd"] * len(self.names)):
-            nursery.start_soon(IdleClient(self.notes, self._find_driver).run)
+        for _ in range(SHORT_DEADLINE_CLIENTS_PER_DRIVER * len(self.names)):
+            short_deadline = ShortDeadlineClient(
+                self._new_requests(classes), self._find_driver, self._rng.getrandbits(32)
+            )
+            nursery.start_soon(short_deadline.run)
+        for _ in range(self.script["crowd"] * len(self.names)):
+            nursery.start_soon(IdleClient(self.observations, self._find_driver).run)
 
-    def _new_requests(self, mix: Sequence[rec.RequestClass]) -> SoakRequests:
+    def _new_requests(self, classes: Sequence[rec.RequestClass]) -> SoakRequests:
         return SoakRequests(
-            self.notes,
+            self.observations,
             self._was_killed,
-            mix,
+            classes,
             self.clock,
             self.recorder,
-            min(self.day["longest-deadline"] // 1000, MAX_DEADLINE_MS),
-            self.day["groups"],
+            min(self.script["longest-deadline"] // 1000, MAX_DEADLINE_MS),
+            self.script["groups"],
             self._lag,
             random.Random(self._rng.getrandbits(32)),
         )
 
-    def _new_session(self, index: int, mix: Sequence[rec.RequestClass]) -> SoakSession:
-        session = super()._new_session(index, mix)
+    def _new_session(self, index: int, classes: Sequence[rec.RequestClass]) -> SoakSession:
+        session = super()._new_session(index, classes)
         assert isinstance(session, SoakSession)
-        session.patience_us = LATE_US
-        session.notes = self.notes
+        session.patience_us = MAX_ANSWER_DELAY_US
+        session.observations = self.observations
         session.was_killed = self._was_killed
         session.lag = self._lag
         return session
@@ -153,22 +155,22 @@
         """Whether the driver was killed since then, so that what it had open is excused."""
         return any(killed_us >= since_us for killed_us in self._drivers.killed_us[driver])
 
-    def _note_crashes(self) -> None:
+    def _record_crashes(self) -> None:
         for name in self.names:
             if self.processes[name].state is ProcessState.ENDED and name in self._drivers.ports:
                 self.crashed.append(name)
 
 
-async def play_soak(
+async def run_soak(
     seed: int,
     drivers: int,
-    last_ms: int,
+    duration_ms: int,
     network: Network,
     directory: Path,
     rates: Mapping[FaultKind, float] = FAULT_RATES,
     program: Sequence[str] = FAULTY_DRIVER_PROGRAM,
 ) -> SoakReport:
     """Play the soak of a seed in an empty directory, and judge it."""
-    trial = SoakTrial(draw_plan(seed, drivers, last_ms), network, directory, rates, program)
+    trial = SoakTrial(draw_plan(seed, drivers, duration_ms), network, directory, rates, program)
     await trial.run()
     return trial.report()
--- a/juniperreel/testbed/soak/punctual_clients.py
+++ b/juniperreel/testbed/soak/short_deadline_clients.py
@@ -10,17 +10,17 @@
 from juniperreel.net.clock import US
 from juniperreel.postgres import messages
 from juniperreel.testbed.soak.reconnecting import use_connections
-from juniperreel.testbed.soak.requests import HELLO, ClientLeft, FindDriver, SoakRequests
-from juniperreel.testbed.soak.timeliness import PATIENCE_US
+from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, ClientDisconnect, FindDriver, SoakRequests
+from juniperreel.testbed.soak.timeliness import CLIENT_WAIT_MARGIN_US
 
 PAUSE_S = 0.04  # mean, between an answer and the next request
-RECONNECT_S = 0.1
+RECONNECT_DELAY_S = 0.1
 DEADLINES_MS = (150, 700)
-WELCOME_S = 3.0
-NEW_CONNECTION_PART = 0.1  # of the requests, that come with their connection's first bytes
+STARTUP_TIMEOUT_S = 3.0
+PIPELINED_STARTUP_FRACTION = 0.1  # of the requests, that come with their connection's first bytes
 
 
-class PunctualClient:
+class ShortDeadlineClient:
     """One client, that asks again and again until cancelled."""
 
     def __init__(self, requests: SoakRequests, find_driver: FindDriver, seed: int) -> None:
@@ -31,15 +31,15 @@
 
     async def run(self) -> None:
         """Use one connection after another."""
-        await use_connections(self._find_driver, self._use, RECONNECT_S)
+        await use_connections(self._find_driver, self._use, RECONNECT_DELAY_S)
 
     async def _use(self, stream: trio.SocketStream, driver: str) -> None:
-        with self._requests.notes.conversation():
+        with self._requests.observations.track_connection():
             connection = _Connection(self._requests, driver, stream, self._rng)
             try:
                 await connection.run()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                connection.judge_end()
+                connection.check_close()
 
 
 class _Connection:
@@ -57,44 +57,44 @@
 
     async def run(self) -> None:
         """Ask until the driver ends the connection, or no answer comes in time."""
-        greeting = HELLO
-        if self._rng.random() > NEW_CONNECTION_PART:
-            await self._stream.send_all(HELLO)
-            greeting = b""
-            with trio.move_on_after(WELCOME_S):
+        startup_prefix = STARTUP_MESSAGE
+        if self._rng.random() > PIPELINED_STARTUP_FRACTION:
+            await self._stream.send_all(STARTUP_MESSAGE)
+            startup_prefix = b""
+            with trio.move_on_after(STARTUP_TIMEOUT_S):
                 await self._read_until_ready(1)
             if not self._received:
                 return
             self._received = b""
-        while await self._ask(greeting):
-            greeting = b""
+        while await self._exchange(startup_prefix):
+            startup_prefix = b""
             await trio.sleep(self._rng.expovariate(1 / PAUSE_S))
 
-    async def _ask(self, greeting: bytes) -> bool:
+    async def _exchange(self, startup_prefix: bytes) -> bool:
         """Ask once, with `greeting` before it; return whether the connection can be used again."""
         requests = self._requests
-        request_class = self._rng.choice((requests.board, requests.write))
+        request_class = self._rng.choice((requests.bounded_read, requests.write))
         request_id = requests.new_id()
         deadline_ms = min(self._rng.randint(*DEADLINES_MS), requests.deadline_ms)
         query = requests.query(request_class, request_id, deadline_ms=deadline_ms)
         sent_us = requests.clock.now_us()
         self._open_request = (request_id, sent_us)
-        await self._stream.send_all(greeting + query)
+        await self._stream.send_all(startup_prefix + query)
         has_answer = False
-        with trio.move_on_after(deadline_ms / 1000 + PATIENCE_US / US):
-            has_answer = await self._read_until_ready(2 if greeting else 1)
+        with trio.move_on_after(deadline_ms / 1000 + CLIENT_WAIT_MARGIN_US / US):
+            has_answer = await self._read_until_ready(2 if startup_prefix else 1)
             if not has_answer:
-                self.judge_end()
+                self.check_close()
                 return False
         self._open_request = None
         if requests.was_killed(self._driver, sent_us):
             return False
-        requests.note_awaited(self._driver, request_id, sent_us, deadline_ms, has_answer)
+        requests.add_awaited_answer(self._driver, request_id, sent_us, deadline_ms, has_answer)
         if not has_answer:
-            requests.notes.left.append(ClientLeft(request_id, requests.clock.now_us()))
+            requests.observations.disconnects.append(ClientDisconnect(request_id, requests.clock.now_us()))
             return False
         self._received = b""
-        requests.notes.counts["answers to clients that leave after their time"] += 1
+        requests.observations.counts["answers to clients that leave after their time"] += 1
         return True
 
     async def _read_until_ready(self, count: int) -> bool:
@@ -106,11 +106,11 @@
             self._received += data
         return True
 
-    def judge_end(self) -> None:
+    def check_close(self) -> None:
         """Note a request whose connection ended before its answer, unless its driver was killed."""
         if self._open_request is None:
             return
         request_id, sent_us = self._open_request
         self._open_request = None
         if not self._requests.was_killed(self._driver, sent_us):
-            self._requests.notes.crossed[request_id] = self._driver
+            self._requests.observations.unanswered_at_close[request_id] = self._driver
--- a/juniperreel/testbed/soak/timeliness.py
+++ b/juniperreel/testbed/soak/timeliness.py
@@ -12,9 +12,9 @@
 from juniperreel.testbed.hold_ups import HoldUp, held_up_us
 from juniperreel.testbed.run_queue import RunQueueWaits
 
-PATIENCE_US = 60_000  # for which a client waits beyond the time that it stated
+CLIENT_WAIT_MARGIN_US = 60_000  # for which a client waits beyond the time that it stated
 # An answer is decided upon at its deadline or shortly before: what holds the process up then makes it late.
-DECIDED_BEFORE_US = 30_000
+DECISION_LEAD_US = 30_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,14 +32,14 @@
     tolerance_us: int
 
 
-def _is_explained(answer: AwaitedAnswer, late_us: int, injected_us: int, waited_us: int) -> bool:
+def _is_excused(answer: AwaitedAnswer, late_us: int, injected_us: int, waited_us: int) -> bool:
     """Whether hold-ups explain a late answer by their length, or one that did not come by having been.
 
     A wait for a processor is common and mostly short: it explains no answer that would have come without it.
     """
     if answer.answered:
-        return late_us - injected_us - waited_us <= PATIENCE_US + answer.tolerance_us
-    return injected_us > 0 or waited_us + answer.tolerance_us > PATIENCE_US
+        return late_us - injected_us - waited_us <= CLIENT_WAIT_MARGIN_US + answer.tolerance_us
+    return injected_us > 0 or waited_us + answer.tolerance_us > CLIENT_WAIT_MARGIN_US
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,12 +68,12 @@
     """Describe the answers that were late, or missing, where no hold-up at their deadline explains it."""
     for answer in awaited:
         late_us = answer.ended_us - answer.due_us
-        if answer.answered and late_us <= PATIENCE_US + answer.tolerance_us:
+        if answer.answered and late_us <= CLIENT_WAIT_MARGIN_US + answer.tolerance_us:
             continue
-        decided_us = answer.due_us - DECIDED_BEFORE_US
-        injected_us = delays.injected_us(answer.driver, decided_us, answer.ended_us)
-        waited_us = delays.waited_us(answer.driver, decided_us, answer.ended_us)
-        if not _is_explained(answer, late_us, injected_us, waited_us):
+        decision_start_us = answer.due_us - DECISION_LEAD_US
+        injected_us = delays.injected_us(answer.driver, decision_start_us, answer.ended_us)
+        waited_us = delays.waited_us(answer.driver, decision_start_us, answer.ended_us)
+        if not _is_excused(answer, late_us, injected_us, waited_us):
             what = "was answered" if answer.answered else "had no answer"
             yield (
                 f"{answer.request_id} of {answer.driver} {what} {late_us} us after its deadline,"
--- a/juniperreel/testbed/trial_process.py
+++ b/juniperreel/testbed/trial_process.py
@@ -33,14 +33,14 @@
 POLL_S = 0.02
 MAX_QUEUED_MESSAGES = 4
 
-AnyOrder = TypeVar("AnyOrder", bound=Message)
+ExpectedMessage = TypeVar("ExpectedMessage", bound=Message)
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessArguments:
     """The command line: `part` of `parts` processes with this role; `program` starts a driver."""
 
-    script: Path
+    script_path: Path
     role: str
     part: int
     parts: int
@@ -51,9 +51,9 @@
     @staticmethod
     def parse(arguments: list[str]) -> ProcessArguments:
         """Raises ValueError where arguments are missing or no numbers."""
-        script, role, part, parts, port, directory, *program = arguments
+        script_path, role, part, parts, port, directory, *program = arguments
         return ProcessArguments(
-            Path(script), role, int(part), int(parts), int(port), Path(directory), tuple(program)
+            Path(script_path), role, int(part), int(parts), int(port), Path(directory), tuple(program)
         )
 
     @property
@@ -91,17 +91,17 @@
     """
 
     def __init__(
-        self, day: Script, arguments: ProcessArguments, control: ControlConnection, record: Recorder
+        self, script: Script, arguments: ProcessArguments, control: ControlConnection, record: Recorder
     ) -> None:
-        self.day = day
+        self.script = script
         self.arguments = arguments
         self.control = control
         self.record = record
         self.network = TcpNetwork()
         self.clock = Clock()
         self.lag = EventLoopLag()
-        self.rng = random.Random(f"{day['seed']} {arguments.name}")
-        self._enqueue_order, self._orders = trio.open_memory_channel[Message](MAX_QUEUED_MESSAGES)
+        self.rng = random.Random(f"{script['seed']} {arguments.name}")
+        self._enqueue_message, self._messages = trio.open_memory_channel[Message](MAX_QUEUED_MESSAGES)
 
     async def receive_messages(self) -> None:
         """Handle updates of hosts as they come and queue all other messages for `expect`, until cancelled."""
@@ -110,11 +110,11 @@
             if isinstance(message, HostUpdate):
                 self.on_host_update(message)
             else:
-                await self._enqueue_order.send(message)
+                await self._enqueue_message.send(message)
 
-    async def expect(self, kind: type[AnyOrder]) -> AnyOrder:
+    async def expect(self, kind: type[ExpectedMessage]) -> ExpectedMessage:
         """Wait for the next order. Raises UnexpectedMessageError if it is of another kind."""
-        message = await self._orders.receive()
+        message = await self._messages.receive()
         if not isinstance(message, kind):
             raise UnexpectedMessageError(message, kind.__name__)
         return message
@@ -123,27 +123,27 @@
         """Handle what discovery is to say of a member. Raises UnexpectedMessageError unless overridden."""
         raise UnexpectedMessageError(update, "an order")
 
-    async def play_day(self, play: Callable[[StartDay], Awaitable[None]]) -> None:
+    async def run_script(self, play: Callable[[StartDay], Awaitable[None]]) -> None:
         """Report that all stands, run `play` from the day's beginning, and cancel it at its end."""
         await self.control.send(Ready())
         start = await self.expect(StartDay)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._play_from_start, play, start)
+            nursery.start_soon(self._run_from_start, play, start)
             await self.expect(EndDay)
             nursery.cancel_scope.cancel()
 
-    async def _play_from_start(self, play: Callable[[StartDay], Awaitable[None]], start: StartDay) -> None:
+    async def _run_from_start(self, play: Callable[[StartDay], Awaitable[None]], start: StartDay) -> None:
         await trio.sleep_until(self.clock.trio_time(start.at_us))
         self.lag.reset()  # its lag while all were started says nothing of the day
         await play(start)
 
 
-def steps_of_role(day: Script, role: str) -> list[Step]:
+def steps_of_role(script: Script, role: str) -> list[Step]:
     """The faults that processes of this role play; those of configuration instances are nobody's."""
     wanted = role == DRIVERS
     return [
         step
-        for step in day.steps
+        for step in script.steps
         if targets_driver_side(step) is wanted and not step.fault.startswith("instance-")
     ]
 
--- a/tests/testbed/test_multi_process_trial.py
+++ b/tests/testbed/test_multi_process_trial.py
@@ -18,7 +18,7 @@
 from juniperreel.verification.rules import check_all
 
 SECOND = 1_000_000
-SIZE = (
+SETTINGS = (
     "groups 2\nmembers 4\nedges 7\nrate 60\nheavy 15\nlist-delay 300ms\nprimary-delay 300ms\ncold-span 4s\n"
 )
 
@@ -31,11 +31,11 @@
     return status.rpartition(")")[2].split()[0] != "Z"
 
 
-async def test_faults_apply_to_drivers_members_and_links_in_whichever_process_plays_them(
+async def test_faults_apply_to_drivers_members_and_links_of_every_process(
     tmp_path: Path,
 ) -> None:
-    day = parse(
-        SIZE
+    script = parse(
+        SETTINGS
         + "last 9s\n"
         + "at 1s edge-kill edge/random:30% back 300ms\n"
         + "at 2s for 1s link-cut edge/zone:0 to zone:1\n"
@@ -43,13 +43,13 @@
         + "at 4s kill g0/replica back 1s\n"
         + "at 5s for 1s link-cut edge/* to list\n"
     )
-    trial = MultiProcessTrial(day, tmp_path, 2)
+    trial = MultiProcessTrial(script, tmp_path, 2)
     progress: list[str] = []
     await trial.run(progress.append)
     found = check_all(trial.records)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     assert [r.at for r in trial.records] == sorted(r.at for r in trial.records)
-    targeted = set(targeted_drivers(day, day.steps[0]))
+    targeted = set(targeted_drivers(script, script.steps[0]))
     assert {r.edge for r in trial.records if isinstance(r, rec.EdgeDown)} == targeted
     assert len(targeted) == 2
     why = {r.endpoint[:2]: r.cause for r in trial.records if isinstance(r, rec.EndpointStopped)}
@@ -65,9 +65,9 @@
     assert (tmp_path / "day.png").read_bytes()[1:4] == b"PNG"
 
 
-async def test_the_load_is_as_uneven_as_the_script_says(tmp_path: Path) -> None:
-    day = parse(SIZE + "last 8s\n")
-    trial = MultiProcessTrial(day, tmp_path, 1)
+async def test_load_is_distributed_by_the_heavy_setting(tmp_path: Path) -> None:
+    script = parse(SETTINGS + "last 8s\n")
+    trial = MultiProcessTrial(script, tmp_path, 1)
     await trial.run()
     requests = [r for r in trial.records if isinstance(r, rec.RequestSent)]
     assert 0.6 * 60 * 8 < len(requests) < 1.2 * 60 * 8
@@ -81,10 +81,10 @@
     assert {a.edge for a in came} == set(trial.drivers)
 
 
-async def test_a_process_of_the_testbed_that_ends_early_ends_the_trial_and_all_it_started(
+async def test_early_exit_of_a_trial_process_ends_the_trial_and_its_children(
     tmp_path: Path,
 ) -> None:
-    trial = MultiProcessTrial(parse(SIZE + "last 60s\n"), tmp_path, 1)
+    trial = MultiProcessTrial(parse(SETTINGS + "last 60s\n"), tmp_path, 1)
     pids: list[int] = []
 
     async def end_one() -> None:
--- a/tests/testbed/test_platform_fleet.py
+++ b/tests/testbed/test_platform_fleet.py
@@ -18,7 +18,7 @@
 from juniperreel.verification.rules import check_all
 
 SECOND = 1_000_000
-SIZE = """
+SETTINGS = """
 groups 2
 members 3
 edges 5
@@ -27,7 +27,7 @@
 list-delay 300ms
 primary-delay 300ms
 """
-BAD = """
+FAULTS = """
 last 10s
 at 1s edge-kill edge/0 back 500ms
 at 1s edge-kill edge/1 back 500ms
@@ -44,13 +44,13 @@
 """
 # A draining member turns work away, and who learns of that leaves it by chance before the grace is over: the
 # planted driver learns nothing, so that it goes on for certain, however slow the machine is.
-DEAF = """
+IGNORES_OUTCOMES = """
 EndpointTracker.may_receive = lambda *_: True
 for part in (OutlierDetector, SlowStart, Selection, LoadShedder):
     part.on_outcome = lambda *_: None
 PrimaryTracker.observe_response = lambda *_: None
 """
-PLANT = """
+FAULTY_PROGRAM = """
 import sys
 from juniperreel.routing.endpoint_state import (EndpointState)
 from juniperreel.routing.estimators import (SuccessRate)
@@ -70,17 +70,17 @@
 """
 
 
-async def play(
-    directory: Path, day: str, pause_s: float = 0.15, bug: str = "", **more: Any
+async def run_trial(
+    directory: Path, script: str, pause_s: float = 0.15, bug: str = "", **more: Any
 ) -> tuple[SingleProcessTrial, dict[int, list[Violation]]]:
-    program = ("-c", PLANT.format(bug=bug)) if bug else DRIVER_PROGRAM
-    trial = SingleProcessTrial(parse(SIZE + day), TcpNetwork(), directory, pause_s, program, **more)
+    program = ("-c", FAULTY_PROGRAM.format(bug=bug)) if bug else DRIVER_PROGRAM
+    trial = SingleProcessTrial(parse(SETTINGS + script), TcpNetwork(), directory, pause_s, program, **more)
     directory.mkdir(exist_ok=True)
     await trial.run()
     return trial, check_all(trial.recorder.records)
 
 
-def reads(trial: SingleProcessTrial) -> int:
+def served_reads(trial: SingleProcessTrial) -> int:
     served = {
         r.request_id for r in trial.recorder.records if isinstance(r, rec.ResponseReceived) and r.status == 0
     }
@@ -88,8 +88,8 @@
     return sum(r.class_name == "board" and r.request_id in served for r in requests)
 
 
-async def test_a_bad_day_of_five_drivers_breaks_no_rule(tmp_path: Path) -> None:
-    trial, found = await play(tmp_path, BAD)
+async def test_mixed_faults_break_no_rule(tmp_path: Path) -> None:
+    trial, found = await run_trial(tmp_path, FAULTS)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     answers = [r for r in trial.recorder.records if isinstance(r, rec.ResponseReceived)]
     assert sum(r.status == 0 for r in answers) > 0.9 * len(answers) > 300
@@ -99,34 +99,34 @@
 
 
 @pytest.mark.parametrize(
-    "rule, bug, day",
+    "rule, bug, script",
     [
         (5, "Freshness.is_fresh_enough = lambda *_: True", "last 6s\nat 1s for 4s lag g0 1e5\n"),
-        (3, DEAF, "last 7s\nat 1s drain g0/replica\n"),
+        (3, IGNORES_OUTCOMES, "last 7s\nat 1s drain g0/replica\n"),
         (1, "RetryPolicy.cannot_succeed = lambda *_: False", "last 9s\nat 500ms for 8s hang g0\n"),
     ],
 )
-async def test_a_planted_bug_is_found(tmp_path: Path, rule: int, bug: str, day: str) -> None:
-    _, found = await play(tmp_path, day, bug=bug)
+async def test_a_planted_bug_is_found(tmp_path: Path, rule: int, bug: str, script: str) -> None:
+    _, found = await run_trial(tmp_path, script, bug=bug)
     assert found[rule], "the judge is blind"
 
 
-async def test_drivers_that_see_little_look_once_and_the_rest_goes_to_primaries(tmp_path: Path) -> None:
+async def test_low_traffic_drivers_read_from_primaries_instead_of_probing(tmp_path: Path) -> None:
     """A group is met by each driver about once in 1.5 s, a position is good for 0.3 s."""
     quiet = "last 20s\n"  # about 75 reads: of half as many, chance decided now and then
-    now, found = await play(tmp_path / "now", quiet, pause_s=3.0)
+    now, found = await run_trial(tmp_path / "now", quiet, pause_s=3.0)
     assert not any(found.values())
     bug = "PositionChecker.prefers_primary = lambda *_: False"
-    before, _ = await play(tmp_path / "before", quiet, pause_s=3.0, bug=bug)
-    assert reads(now) > 20
-    assert reads(before) > 20
-    assert now.probes / reads(now) < before.probes / reads(before)
+    before, _ = await run_trial(tmp_path / "before", quiet, pause_s=3.0, bug=bug)
+    assert served_reads(now) > 20
+    assert served_reads(before) > 20
+    assert now.probes / served_reads(now) < before.probes / served_reads(before)
 
 
-async def test_watches_that_fall_silent_hide_no_drain_from_drivers_of_a_large_fleet(tmp_path: Path) -> None:
+async def test_silent_watches_hide_no_drain_from_drivers_of_a_large_fleet(tmp_path: Path) -> None:
     """Five of a fleet of 400, whose calls after a refusal are spread over nine seconds."""
-    day = "fleet 400\nask-every 4s\nlast 13s\nat 6s link-mute edge/* to list\nat 6500ms drain g0/replica\n"
-    trial, found = await play(tmp_path, day)
+    script = "fleet 400\nask-every 4s\nlast 13s\nat 6s link-mute edge/* to list\nat 6500ms drain g0/replica\n"
+    trial, found = await run_trial(tmp_path, script)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     records = trial.recorder.records
     (muted,) = [r.at for r in records if isinstance(r, rec.Fault) and "link-mute" in r.text and r.active]
@@ -140,16 +140,16 @@
         assert min(notified) < muted + 5 * SECOND
 
 
-NOT_EJECTED = "EndpointState.eject = lambda *_: None"
-NOT_JUDGED = f"SuccessRate.observe = lambda *_, **__: None\n{NOT_EJECTED}"
+EJECTS_NOTHING = "EndpointState.eject = lambda *_: None"
+IGNORES_SUCCESS_RATE = f"SuccessRate.observe = lambda *_, **__: None\n{EJECTS_NOTHING}"
 
 
 @pytest.mark.parametrize(
     "bug, leaves",
     [
         pytest.param("", True, id="True"),
-        pytest.param(NOT_EJECTED, True, id="by its success rate alone"),
-        pytest.param(NOT_JUDGED, False, id="False"),
+        pytest.param(EJECTS_NOTHING, True, id="by its success rate alone"),
+        pytest.param(IGNORES_SUCCESS_RATE, False, id="False"),
     ],
 )
 async def test_drivers_leave_a_replica_that_fails_fast(tmp_path: Path, bug: str, leaves: bool) -> None:
@@ -157,20 +157,20 @@
 
     Beside load, health checks run out of time and eject members; one that only fails is not reinstated.
     """
-    day = "groups 1\nmembers 5\nsessions 40\nlast 7s\nat 2s for 4s fail g0/1 100%\n"
-    trial, found = await play(tmp_path, day, pause_s=0.1, bug=bug)
+    script = "groups 1\nmembers 5\nsessions 40\nlast 7s\nat 2s for 4s fail g0/1 100%\n"
+    trial, found = await run_trial(tmp_path, script, pause_s=0.1, bug=bug)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     on, off = [r.at for r in trial.recorder.records if isinstance(r, rec.Fault)]
     failing = share(trial, "g0-m1", on + SECOND, off)
     assert failing < 0.5 if leaves else failing > 0.6
 
 
-async def test_a_replica_that_is_well_again_has_its_part_of_reads_with_a_bound(tmp_path: Path) -> None:
+async def test_recovered_replica_serves_bounded_reads_again(tmp_path: Path) -> None:
     """All reads have a bound, which only a position just heard satisfies. What becomes of it where nobody
     looks beside reads is asked in virtual time (tests/emulator): answers that wait for a busy machine make
     drivers look anyway."""
-    day = "groups 1\nmembers 4\nsessions 30\nlast 14s\nat 1s for 3s fail g0/1 100%\n"
-    trial, found = await play(tmp_path, day, 0.15, weights=(1.0, 0.0, 0.0))
+    script = "groups 1\nmembers 4\nsessions 30\nlast 14s\nat 1s for 3s fail g0/1 100%\n"
+    trial, found = await run_trial(tmp_path, script, 0.15, weights=(1.0, 0.0, 0.0))
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     _, off = [r.at for r in trial.recorder.records if isinstance(r, rec.Fault)]
     assert share(trial, "g0-m1", off + 6 * SECOND, off + 10 * SECOND) > 0.5
@@ -202,9 +202,9 @@
         ),
     ],
 )
-async def test_hard_cases_break_no_rule(tmp_path: Path, steps: str, least: float) -> None:
-    day = f"groups 1\nmembers 5\nsessions 16\ncold-span 3s\nlast 8s\n{steps}\n"
-    trial, found = await play(tmp_path, day, pause_s=0.2)
+async def test_single_fault_kinds_break_no_rule(tmp_path: Path, steps: str, least: float) -> None:
+    script = f"groups 1\nmembers 5\nsessions 16\ncold-span 3s\nlast 8s\n{steps}\n"
+    trial, found = await run_trial(tmp_path, script, pause_s=0.2)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     answers = [r for r in trial.recorder.records if isinstance(r, rec.ResponseReceived)]
     assert sum(r.status == 0 for r in answers) > least * len(answers) > 50
@@ -215,7 +215,7 @@
     assert {a.endpoint for a in late} == alive
 
 
-def test_links_have_two_ends_in_a_script() -> None:
+def test_link_fault_requires_source_and_target() -> None:
     (step,) = parse("at 1s for 2s link-slow edge/1 to g0/primary 30ms").steps
     assert (step.target, step.other, step.value) == ("edge/1", "g0/primary", 30_000)
     with pytest.raises(ScriptError, match="to and a target"):
--- a/tests/testbed/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -15,10 +15,10 @@
 from juniperreel.testbed.processes import Processes, ProcessState, open_processes
 
 SECONDS = 60
-WRITES = (
+WRITE_NOTE = (
     "import pathlib, signal; p = pathlib.Path('note'); print(p.exists(), flush=True); p.write_text('x'); "
 )
-WAITS = (sys.executable, "-c", WRITES + "signal.pause()")
+WAITING_PROGRAM = (sys.executable, "-c", WRITE_NOTE + "signal.pause()")
 ENV = {"PATH": os.environ["PATH"]}
 
 
@@ -37,9 +37,9 @@
         return False
 
 
-async def test_a_disk_outlives_a_kill_and_not_a_lost_machine(tmp_path: Path) -> None:
+async def test_disk_survives_a_kill_but_not_the_loss_of_the_machine(tmp_path: Path) -> None:
     async with open_processes(tmp_path) as processes:
-        process = processes.add("a", WAITS, ENV)
+        process = processes.add("a", WAITING_PROGRAM, ENV)
         process.start()
         assert await lines(process.log, 1) == ["False"]
         process.kill()
@@ -76,12 +76,12 @@
             process.thaw()
 
 
-async def test_all_end_with_the_trial_frozen_ones_too(tmp_path: Path) -> None:
+async def test_all_processes_end_with_the_trial_including_frozen_ones(tmp_path: Path) -> None:
     pids: list[int] = []
 
     async def failing_trial() -> None:
         async with open_processes(tmp_path) as processes:
-            started = [processes.add(name, WAITS, ENV) for name in "abc"]
+            started = [processes.add(name, WAITING_PROGRAM, ENV) for name in "abc"]
             for process in started:
                 process.start()
             await lines(started[0].log, 1)
@@ -95,19 +95,19 @@
     assert not any(map(alive, pids))
 
 
-def test_a_name_is_one_process(tmp_path: Path) -> None:
+def test_duplicate_process_name_is_rejected(tmp_path: Path) -> None:
     processes = Processes(tmp_path)
-    processes.add("a", WAITS, ENV)
+    processes.add("a", WAITING_PROGRAM, ENV)
     with pytest.raises(ValueError, match="a is there already"):
-        processes.add("a", WAITS, ENV)
+        processes.add("a", WAITING_PROGRAM, ENV)
 
 
-async def test_nothing_outlives_a_trial_that_is_itself_killed(tmp_path: Path) -> None:
+async def test_processes_end_when_the_trial_is_killed(tmp_path: Path) -> None:
     trial = f"""
 import signal, sys
 from pathlib import Path
 from juniperreel.testbed.processes import (Processes)
-process = Processes(Path({str(tmp_path)!r})).add("a", {list(WAITS)!r}, {{}})
+process = Processes(Path({str(tmp_path)!r})).add("a", {list(WAITING_PROGRAM)!r}, {{}})
 process.start()
 print(process.pid, flush=True)
 signal.pause()
--- a/tests/testbed/test_relay.py
+++ b/tests/testbed/test_relay.py
@@ -228,7 +228,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def test_closed_near_end_is_known_before_its_bytes_are_read() -> None:
+async def test_closed_near_end_is_detected_before_its_bytes_are_read() -> None:
     """What the kernel knows counts, also with bytes still unread: the loop has not turned since."""
     async with echo_through_relay() as link:
         await link.stream.send_all(b"hello")
@@ -244,7 +244,7 @@
         assert near_end_closed()
 
 
-async def test_member_runs_nothing_whose_sender_closed_before_it_was_read(
+async def test_member_skips_requests_whose_sender_closed_before_they_were_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Every sender has closed, as far as the kernel knows, by the time the member has read it."""
--- a/tests/testbed/test_run_queue.py
+++ b/tests/testbed/test_run_queue.py
@@ -31,7 +31,7 @@
     assert waits.waited_us("n1", -50, 400) == 0
 
 
-def test_a_wait_is_counted_when_it_is_over_and_reaches_back_by_its_length() -> None:
+def test_wait_is_counted_when_it_ends_and_reaches_back_by_its_length() -> None:
     waits = waits_of((0, 0), (100, 0), (200, 0), (300, 250))
     assert waits.waited_us("n0", 50, 200) == 150
     assert waits.waited_us("n0", 0, 60) == 10, "it may have begun at 50"
@@ -49,7 +49,7 @@
     assert waits.waited_us("n0", -60, 100, [HoldUp(200, 250)]) == 60
 
 
-def test_the_count_of_another_process_under_the_name_is_not_compared() -> None:
+def test_counts_of_different_pids_are_not_compared() -> None:
     waits = waits_of((0, 50))
     waits.add("n0", WaitSample(10, PID + 1, 90))
     assert waits.waited_us("n0", 0, 10) == 0
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -15,15 +15,15 @@
 from juniperreel.testbed.hold_ups import HOLD_UPS_SUFFIX, RECORD
 from juniperreel.testbed.injected_faults import FaultKind
 from juniperreel.testbed.run_queue import RunQueueWaits, WaitSample
-from juniperreel.testbed.soak.oracle import LONGEST_LAG, SoakReport, judge
+from juniperreel.testbed.soak.oracle import MAX_LOOP_LAG, SoakReport, check_soak
 from juniperreel.testbed.soak.plan import FAULT_RATES, draw_plan
-from juniperreel.testbed.soak.requests import ClientLeft, ClientNotes
-from juniperreel.testbed.soak.run import FAULTY_DRIVER_PROGRAM, SoakTrial, play_soak
+from juniperreel.testbed.soak.requests import ClientDisconnect, ClientObservations
+from juniperreel.testbed.soak.run import FAULTY_DRIVER_PROGRAM, SoakTrial, run_soak
 from juniperreel.testbed.soak.timeliness import AwaitedAnswer
 from juniperreel.verification import records as rec
 
 DRIVERS = 8
-LAST_MS = 9_000
+DURATION_MS = 9_000
 RATES = {kind: min(3 * rate, 0.5) for kind, rate in FAULT_RATES.items()}  # a short soak has fewer calls
 SECOND = 1_000_000
 ID = "00000000000000f1"
@@ -33,7 +33,7 @@
 SHORT_DEADLINES = 7
 SHORT_DEADLINES_IN_A_CROWD = 1
 
-PLANT = """
+FAULTY_PROGRAM = """
 import runpy
 from juniperreel.net.poller import Poller
 from juniperreel.platform.attempt import Attempt
@@ -46,11 +46,11 @@
 {bug}
 runpy.run_module("juniperreel.testbed.faulty_driver", run_name="__main__")
 """
-BELIEVES_THE_WALL_CLOCK = """
+TRUSTS_WALL_CLOCK = """
 EndpointClock.observe = lambda *_: 0
 EndpointClock.is_plausible = lambda *_: True
 """
-WRITES_FOR_THOSE_WHO_LEFT = """
+WRITES_AFTER_DISCONNECT = """
 PlatformDriver.client_disconnected = lambda *_: None
 Attempt.is_awaited = lambda _: True
 """
@@ -63,14 +63,14 @@
 ClientListener.close_inactive = planted
 """
 
-COUNTS_FROM_THE_END_OF_A_WAIT = """
+COUNTS_DEADLINE_FROM_POLL_RETURN = """
 wait = Poller.wait
 async def planted(self, until_us):
     await wait(self, until_us)
     self.ready_since_us = self.clock.now_us()
 Poller.wait = planted
 """
-READS_BUSY_CONNECTIONS_NO_FURTHER = """
+STOPS_READING_BUSY_CONNECTIONS = """
 def planted(self):
     self.closing = True
     for client in list(self.clients):
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("seed", [LONG_DEADLINES, SHORT_DEADLINES, SHORT_DEADLINES_IN_A_CROWD])
 async def test_a_short_soak_violates_nothing_and_had_its_faults(tmp_path: Path, seed: int) -> None:
-    report = await play_soak(seed, DRIVERS, LAST_MS, TcpNetwork(), tmp_path, RATES)
+    report = await run_soak(seed, DRIVERS, DURATION_MS, TcpNetwork(), tmp_path, RATES)
     assert report.violations == []
     injected = {kind for kind in FaultKind if report.counts[f"injected: {kind.value}"]}
     assert injected == set(RATES)
@@ -95,34 +95,34 @@
 
 
 @pytest.mark.parametrize(
-    "bug, sign",
+    "bug, expected_text",
     [
-        pytest.param(BELIEVES_THE_WALL_CLOCK, "rule 5", id="believes the wall clock"),
-        pytest.param(WRITES_FOR_THOSE_WHO_LEFT, "after its client had left", id="writes for those who left"),
+        pytest.param(TRUSTS_WALL_CLOCK, "rule 5", id="believes the wall clock"),
+        pytest.param(WRITES_AFTER_DISCONNECT, "after its client had left", id="writes for those who left"),
         pytest.param(ENDS_CLIENTS_WITH_OPEN_REQUESTS, "closed unanswered", id="ends clients"),
     ],
 )
-async def test_a_planted_bug_is_found_by_a_soak(tmp_path: Path, bug: str, sign: str) -> None:
+async def test_a_planted_bug_is_found_by_a_soak(tmp_path: Path, bug: str, expected_text: str) -> None:
     rates = {**RATES, FaultKind.WALL_CLOCK_AT_START: 1.0, FaultKind.HOLD_UP: 0.0}
-    program = ("-c", PLANT.format(bug=bug))
-    report = await play_soak(5, 12, 12_000, TcpNetwork(), tmp_path, rates, program)
-    assert any(sign in text for text in report.violations), report.violations[:5]
+    program = ("-c", FAULTY_PROGRAM.format(bug=bug))
+    report = await run_soak(5, 12, 12_000, TcpNetwork(), tmp_path, rates, program)
+    assert any(expected_text in text for text in report.violations), report.violations[:5]
 
 
 async def test_connections_that_end_over_what_was_sent_are_found_by_a_soak(tmp_path: Path) -> None:
     """Members hang, so that requests are open when connections begin to be closed."""
-    program = ("-c", PLANT.format(bug=READS_BUSY_CONNECTIONS_NO_FURTHER))
-    report = await play_shutdowns_while_members_hang(tmp_path, program)
+    program = ("-c", FAULTY_PROGRAM.format(bug=STOPS_READING_BUSY_CONNECTIONS))
+    report = await run_shutdowns_while_members_hang(tmp_path, program)
     assert any("before its connection ended" in text for text in report.violations)
 
 
 async def test_shutdowns_while_members_hang_violate_nothing(tmp_path: Path) -> None:
-    report = await play_shutdowns_while_members_hang(tmp_path, FAULTY_DRIVER_PROGRAM)
+    report = await run_shutdowns_while_members_hang(tmp_path, FAULTY_DRIVER_PROGRAM)
     assert report.violations == []
 
 
-async def play_shutdowns_while_members_hang(directory: Path, program: Sequence[str]) -> SoakReport:
-    plan = draw_plan(SHORT_DEADLINES, 8, LAST_MS)
+async def run_shutdowns_while_members_hang(directory: Path, program: Sequence[str]) -> SoakReport:
+    plan = draw_plan(SHORT_DEADLINES, 8, DURATION_MS)
     hanging = "at 6s for 2500ms hang all\nat 6500ms edge-term edge/*\n"
     trial = SoakTrial(parse(render(plan) + hanging), TcpNetwork(), directory, {}, program)
     await trial.run()
@@ -131,21 +131,21 @@
 
 async def test_requests_that_count_from_the_end_of_a_wait_are_found_by_a_soak(tmp_path: Path) -> None:
     """What arrives while the process is held up in a wait is answered late by as much."""
-    program = ("-c", PLANT.format(bug=COUNTS_FROM_THE_END_OF_A_WAIT))
-    report = await play_hold_ups_while_answers_get_lost(tmp_path, program)
+    program = ("-c", FAULTY_PROGRAM.format(bug=COUNTS_DEADLINE_FROM_POLL_RETURN))
+    report = await run_hold_ups_while_answers_are_lost(tmp_path, program)
     assert any("after its deadline" in text for text in report.violations), report.counts
 
 
-async def test_hold_ups_while_answers_get_lost_make_none_late(tmp_path: Path) -> None:
-    report = await play_hold_ups_while_answers_get_lost(tmp_path, FAULTY_DRIVER_PROGRAM)
+async def test_hold_ups_with_lost_answers_make_no_answer_late(tmp_path: Path) -> None:
+    report = await run_hold_ups_while_answers_are_lost(tmp_path, FAULTY_DRIVER_PROGRAM)
     assert report.violations == []
     assert report.counts[f"injected: {FaultKind.HOLD_UP_IN_WAIT.value}"] > 50
     assert report.counts["client: answers to clients that leave after their time"] > 100
 
 
-async def play_hold_ups_while_answers_get_lost(directory: Path, program: Sequence[str]) -> SoakReport:
+async def run_hold_ups_while_answers_are_lost(directory: Path, program: Sequence[str]) -> SoakReport:
     """Where answers of endpoints get lost, it is the driver that decides when a request has its answer."""
-    day = """
+    script = """
     groups 2
     members 4
     edges 6
@@ -156,17 +156,17 @@
     at 1s for 8s lose all 70%
     """
     rates = {FaultKind.HOLD_UP_IN_WAIT: 0.06}
-    trial = SoakTrial(parse(day), TcpNetwork(), directory, rates, program)
+    trial = SoakTrial(parse(script), TcpNetwork(), directory, rates, program)
     await trial.run()
     return trial.report()
 
 
-async def test_a_driver_that_does_not_end_is_killed_and_its_report_tells_what_it_did_last(
+async def test_driver_that_does_not_exit_is_killed_and_reported_with_its_last_event(
     tmp_path: Path,
 ) -> None:
-    day = "groups 1\nmembers 3\nedges 1\nsessions 2\nlongest-deadline 500ms\nlast 1s\n"
-    program = ("-c", PLANT.format(bug="Program._shutdown_is_complete = lambda _: False"))
-    trial = SoakTrial(parse(day), TcpNetwork(), tmp_path, {}, program)
+    script = "groups 1\nmembers 3\nedges 1\nsessions 2\nlongest-deadline 500ms\nlast 1s\n"
+    program = ("-c", FAULTY_PROGRAM.format(bug="Program._shutdown_is_complete = lambda _: False"))
+    trial = SoakTrial(parse(script), TcpNetwork(), tmp_path, {}, program)
     await trial.run()
     (ended,) = [text for text in trial.report().violations if text.startswith("n0 ended")]
     assert re.fullmatch(
@@ -174,7 +174,7 @@
     )
 
 
-def test_the_plan_of_a_seed_is_the_same_each_time() -> None:
+def test_plan_is_deterministic_for_a_seed() -> None:
     assert render(draw_plan(7, 12, 15_000)) == render(draw_plan(7, 12, 15_000))
     assert render(draw_plan(7, 12, 15_000)) != render(draw_plan(8, 12, 15_000))
 
@@ -193,90 +193,112 @@
     return AwaitedAnswer(ID, "n0", SECOND, SECOND + late_us, answered, tolerance_us=0)
 
 
-def judged(
+def check_log(
     directory: Path,
     records: list[rec.Record] | None = None,
-    notes: ClientNotes | None = None,
+    observations: ClientObservations | None = None,
     lines: tuple[dict[str, object], ...] = (),
     exits: tuple[ExitStatus, ...] = (),
     crashed: tuple[str, ...] = (),
 ) -> SoakReport:
     log = directory / "n0.log"
     log.write_text("".join(json.dumps(line) + "\n" for line in lines))
-    return judge(1, records or [], notes or ClientNotes(), [log], directory, exits, crashed)
+    return check_soak(
+        1, records or [], observations or ClientObservations(), [log], directory, exits, crashed
+    )
 
 
 @pytest.mark.parametrize(
-    "plant",
+    "check_violation",
     [
         pytest.param(
-            lambda path: judged(
-                path, [attempt(SECOND + 170_000)], ClientNotes(left=[ClientLeft(ID, SECOND)])
+            lambda path: check_log(
+                path,
+                [attempt(SECOND + 170_000)],
+                ClientObservations(disconnects=[ClientDisconnect(ID, SECOND)]),
             ),
             id="an attempt after its client left",
         ),
         pytest.param(
-            lambda path: judged(path, [attempt(SECOND)], ClientNotes(crossed={ID: "n0"})),
+            lambda path: check_log(
+                path, [attempt(SECOND)], ClientObservations(unanswered_at_close={ID: "n0"})
+            ),
             id="a crossed request that was sent on",
         ),
         pytest.param(
-            lambda path: judged(
+            lambda path: check_log(
                 path,
-                notes=ClientNotes(crossed={ID: "n0"}),
+                observations=ClientObservations(unanswered_at_close={ID: "n0"}),
                 lines=({"event": "request taken", "request": ID},),
             ),
             id="a crossed request that was read",
         ),
-        pytest.param(lambda path: judged(path, lines=({"event": "rule violated"},)), id="a driver's monitor"),
-        pytest.param(lambda path: judged(path, lines=({"event": "timer raised"},)), id="an internal error"),
         pytest.param(
-            lambda path: judged(path, notes=ClientNotes(awaited=[awaited(70_000)])), id="a late answer"
+            lambda path: check_log(path, lines=({"event": "rule violated"},)), id="a driver's monitor"
+        ),
+        pytest.param(
+            lambda path: check_log(path, lines=({"event": "timer raised"},)), id="an internal error"
+        ),
+        pytest.param(
+            lambda path: check_log(path, observations=ClientObservations(awaited=[awaited(70_000)])),
+            id="a late answer",
         ),
         pytest.param(
-            lambda path: judged(path, notes=ClientNotes(awaited=[awaited(60_000, answered=False)])),
+            lambda path: check_log(
+                path, observations=ClientObservations(awaited=[awaited(60_000, answered=False)])
+            ),
             id="a client that waited in vain",
         ),
-        pytest.param(lambda path: judged(path, exits=(ExitStatus("n0", 1),)), id="an exit status"),
-        pytest.param(lambda path: judged(path, crashed=("n0",)), id="a crash"),
-        pytest.param(lambda path: judged(path, notes=ClientNotes(violations=["told"])), id="a client's word"),
+        pytest.param(lambda path: check_log(path, exits=(ExitStatus("n0", 1),)), id="an exit status"),
+        pytest.param(lambda path: check_log(path, crashed=("n0",)), id="a crash"),
+        pytest.param(
+            lambda path: check_log(path, observations=ClientObservations(violations=["told"])),
+            id="a client's word",
+        ),
     ],
 )
-def test_a_planted_violation_is_found(tmp_path: Path, plant: Callable[[Path], SoakReport]) -> None:
-    assert len(plant(tmp_path).violations) == 1
+def test_each_kind_of_violation_is_reported(
+    tmp_path: Path, check_violation: Callable[[Path], SoakReport]
+) -> None:
+    assert len(check_violation(tmp_path).violations) == 1
 
 
-def test_a_soak_whose_faults_did_not_happen_does_not_pass(tmp_path: Path) -> None:
-    report = judged(tmp_path)
+def test_soak_without_its_faults_does_not_pass(tmp_path: Path) -> None:
+    report = check_log(tmp_path)
     assert not report.violations
     assert f"injected: {FaultKind.ACCEPT.value}" in report.missing
     assert not report.passed
 
 
-def test_an_attempt_in_the_moment_in_which_its_client_leaves_is_no_violation(tmp_path: Path) -> None:
-    notes = ClientNotes(left=[ClientLeft(ID, SECOND)])
-    assert not judged(tmp_path, [attempt(SECOND + 90_000)], notes).violations
+def test_attempt_concurrent_with_client_disconnect_is_no_violation(tmp_path: Path) -> None:
+    observations = ClientObservations(disconnects=[ClientDisconnect(ID, SECOND)])
+    assert not check_log(tmp_path, [attempt(SECOND + 90_000)], observations).violations
 
 
-def held_up(directory: Path, start_us: int, end_us: int) -> None:
+def write_hold_up(directory: Path, start_us: int, end_us: int) -> None:
     """Record a hold-up of n0."""
     (directory / f"n0.0{HOLD_UPS_SUFFIX}").write_bytes(RECORD.pack(start_us, end_us))
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_a_hold_up_at_the_deadline_explains_a_late_answer(tmp_path: Path, answered: bool) -> None:
-    held_up(tmp_path, SECOND - 10_000, SECOND + 100_000)
-    assert not judged(tmp_path, notes=ClientNotes(awaited=[awaited(105_000, answered)])).violations
+def test_hold_up_at_the_deadline_excuses_a_late_answer(tmp_path: Path, answered: bool) -> None:
+    write_hold_up(tmp_path, SECOND - 10_000, SECOND + 100_000)
+    assert not check_log(
+        tmp_path, observations=ClientObservations(awaited=[awaited(105_000, answered)])
+    ).violations
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_a_hold_up_before_the_deadline_explains_nothing(tmp_path: Path, answered: bool) -> None:
-    held_up(tmp_path, SECOND - 400_000, SECOND - 250_000)
-    assert judged(tmp_path, notes=ClientNotes(awaited=[awaited(105_000, answered)])).violations
+def test_hold_up_before_the_deadline_excuses_nothing(tmp_path: Path, answered: bool) -> None:
+    write_hold_up(tmp_path, SECOND - 400_000, SECOND - 250_000)
+    assert check_log(
+        tmp_path, observations=ClientObservations(awaited=[awaited(105_000, answered)])
+    ).violations
 
 
-def test_a_hold_up_explains_no_more_than_its_length(tmp_path: Path) -> None:
-    held_up(tmp_path, SECOND, SECOND + 40_000)
-    assert judged(tmp_path, notes=ClientNotes(awaited=[awaited(110_000)])).violations
+def test_hold_up_excuses_no_more_than_its_length(tmp_path: Path) -> None:
+    write_hold_up(tmp_path, SECOND, SECOND + 40_000)
+    assert check_log(tmp_path, observations=ClientObservations(awaited=[awaited(110_000)])).violations
 
 
 @pytest.mark.parametrize(
@@ -289,7 +311,7 @@
         pytest.param((SECOND, SECOND + 40_000), awaited(65_000, False), True, id="unanswered, and short"),
     ],
 )
-def test_a_wait_for_a_processor_explains_no_more_than_its_length(
+def test_run_queue_wait_excuses_no_more_than_its_length(
     tmp_path: Path, wait_us: tuple[int, int], answer: AwaitedAnswer, violated: bool
 ) -> None:
     """Guards against drivers blamed for the machine; a wait is known by samples around its end."""
@@ -297,16 +319,14 @@
     waits = RunQueueWaits()
     for at_us, waited_us in ((0, 0), (end_us - 1_000, 0), (end_us, end_us - start_us)):
         waits.add("n0", WaitSample(at_us, 7, waited_us))
-    report = judge(1, [], ClientNotes(awaited=[answer]), [], tmp_path, (), (), waits=waits)
+    report = check_soak(1, [], ClientObservations(awaited=[answer]), [], tmp_path, (), (), waits=waits)
     assert bool(report.violations) is violated, report.violations
 
 
 @pytest.mark.parametrize(
     "loop_late_us, violated", [(0, True), (100_000, True), (300_000, False), (300_001, False)]
 )
-def test_an_answer_is_late_beside_what_the_soaks_own_loop_was(
-    tmp_path: Path, loop_late_us: int, violated: bool
-) -> None:
+def test_loop_lag_of_the_soak_extends_the_deadline(tmp_path: Path, loop_late_us: int, violated: bool) -> None:
     """Guards against answers that came in time and that the soak, itself without a processor, read late."""
     answered_us = SECOND + 315_000
     records = [
@@ -314,10 +334,10 @@
         rec.ResponseReceived(answered_us, ID, 0, 0),
     ]
     answer = AwaitedAnswer(ID, "n0", SECOND, answered_us, answered=True, tolerance_us=loop_late_us)
-    report = judged(tmp_path, [*CLASSES, *records], ClientNotes(awaited=[answer]))
+    report = check_log(tmp_path, [*CLASSES, *records], ClientObservations(awaited=[answer]))
     assert any(text.startswith("rule 1") for text in report.violations) is violated, report.violations
 
 
-def test_a_report_tells_how_late_the_soaks_own_loop_was(tmp_path: Path) -> None:
-    report = judge(1, [], ClientNotes(), [], tmp_path, (), (), longest_lag_us=400_000)
-    assert report.counts[LONGEST_LAG] == 400_000
+def test_report_contains_max_loop_lag(tmp_path: Path) -> None:
+    report = check_soak(1, [], ClientObservations(), [], tmp_path, (), (), max_loop_lag_us=400_000)
+    assert report.counts[MAX_LOOP_LAG] == 400_000
