--- a/juniperreel/testbed/__init__.py
+++ b/juniperreel/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The testbed: real processes of the program, a relay on every link between them, and faults in both.
+"""The testbed runs the real programs as processes with a relay on every link, and injects faults into both.
 
-It leaves records that `verification` judges. It starts programs and imports none of them.
+It produces recordings that `verification` checks. It starts the programs and imports none of them.
 """
--- a/juniperreel/testbed/control_messages.py
+++ b/juniperreel/testbed/control_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the processes of one trial: lines of JSON over one connection for each process."""
+"""Control messages between the processes of a trial: JSON lines over one connection per process."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """Base of all messages; a message's class name is its tag."""
+    """Base class of all messages; the class name is the tag on the wire."""
 
 
 class Hello(Message, frozen=True):
-    """Process to trial: the process of this name has started."""
+    """Process to trial: the named process has started and connected."""
 
     name: str
 
 
 class HostUpdate(Message, frozen=True):
-    """What discovery is to say of a member, and the ports by which drivers reach the member.
+    """An update of a member that discovery is to publish, and the ports by which drivers reach the member.
 
-    `serialized_host` is a `Host` of the host list in base64; `delay_us` is None where discovery's own delay
-    holds; `ports` are by driver.
+    `serialized_host` is a `Host` of the host list in base64. `delay_us` is None to use discovery's default
+    delay. `ports` is keyed by driver.
     """
 
     serialized_host: str
@@ -38,17 +38,17 @@
 
     @staticmethod
     def of(host: hosts_pb2.Host, delay_us: int | None, ports: dict[str, int]) -> HostUpdate:
-        """Make the message for a host."""
+        """Build the message for a host."""
         return HostUpdate(base64.b64encode(host.SerializeToString()).decode(), delay_us, ports)
 
     @property
     def host(self) -> hosts_pb2.Host:
-        """The host of the list."""
+        """The deserialized host."""
         return hosts_pb2.Host.FromString(base64.b64decode(self.serialized_host))
 
 
 class StartDrivers(Message, frozen=True):
-    """Trial to process: all members are running, start the drivers."""
+    """Trial to process: all members are running; start the drivers."""
 
 
 class Ready(Message, frozen=True):
@@ -56,20 +56,20 @@
 
 
 class StartDay(Message, frozen=True):
-    """Trial to process: the day's beginning and end on the machine's clock."""
+    """Trial to process: start and end of the script, on the machine's clock."""
 
     at_us: int
     until_us: int
 
 
 class EndDay(Message, frozen=True):
-    """Trial to process: stop, send the counts, and end."""
+    """Trial to process: stop, send the counts and exit."""
 
 
 class ProcessCounts(Message, frozen=True):
-    """Process to trial, as its last message: what it counted.
+    """Process to trial, as its last message: its counters.
 
-    `max_lag_us` is the most by which its event loop was late during the day; `cpu_s` is processor time with
+    `max_lag_us` is the maximum lag of its event loop while the script ran; `cpu_s` is its CPU time including
     that of the drivers it started.
     """
 
@@ -86,7 +86,7 @@
 
 
 class ControlConnection:
-    """One connection between the trial and one of its processes, both ways."""
+    """A bidirectional connection between the trial and one of its processes."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self._stream = stream
@@ -97,7 +97,7 @@
         self._sending = trio.Lock()
 
     async def send(self, message: Message) -> None:
-        """Raises ConnectionEndedError."""
+        """Send one message. Raises ConnectionEndedError."""
         async with self._sending:
             try:
                 await self._stream.send_all(self._encoder.encode(message) + b"\n")
@@ -107,7 +107,7 @@
     async def receive(self) -> AnyMessage:
         """Wait for the next message.
 
-        Raises ConnectionEndedError, and msgspec.DecodeError for a line that is no message.
+        Raises ConnectionEndedError, or msgspec.DecodeError for a line that is not a valid message.
         """
         while not self._lines:
             await self._receive_lines()
--- a/juniperreel/testbed/driver_fleet.py
+++ b/juniperreel/testbed/driver_fleet.py
@@ -1,6 +1,6 @@
-"""Some of a trial's drivers, each a process of the program, with their discovery, their sessions and faults.
+"""A subset of a trial's drivers, each a process, with their discovery servers, client sessions and faults.
 
-Starts the program by its own command and imports nothing of it.
+Starts the program by its own command and imports none of it.
 """
 
 from __future__ import annotations
@@ -42,24 +42,24 @@
 )
 from juniperreel.verification import records as rec
 
-START_TIMEOUT_S = 120  # for a driver to listen, on a machine that has much else to do
+START_TIMEOUT_S = 120  # for a driver to listen, on a loaded machine
 LOG_POLL_S = 0.02
 LOG_TAIL_CHARACTERS = 2000
-# After SIGTERM the operators wait for the longest deadline, or so long where it is longer, and a while more.
+# From SIGTERM to SIGKILL: the longest deadline, but at most LONGEST_DEADLINE_US, plus a margin.
 LONGEST_DEADLINE_US = 3_000_000
 KILL_AFTER_DEADLINE_US = 700_000
 SIGNAL_SEQUENCE = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGHUP, signal.SIGTERM)
-MEAN_SIGNAL_INTERVAL_S = 0.15  # mean, between two signals of a series
-CLIENT_ROUTING_DELAY_S = 0.3  # until no new connections come to a driver that was told to end
+MEAN_SIGNAL_INTERVAL_S = 0.15  # between two signals of SIGNAL_SEQUENCE
+CLIENT_ROUTING_DELAY_S = 0.3  # from SIGTERM until clients open no new connections to the driver
 KILLED = -9
 NS_PER_S = 1_000_000_000
-MIN_RATE = 1e-3  # requests a second, so that a pause between requests is finite
+MIN_RATE = 1e-3  # requests/s; keeps the pause between requests finite
 
 
 class ExitStatus(NamedTuple):
-    """How a driver that was told to end did so; KILLED where it had not in its time.
+    """Exit status of a driver that received SIGTERM; KILLED if it did not exit in time.
 
-    `details` tells what a driver that was killed did last, and how long it waited for a processor meanwhile.
+    For a killed driver, `details` has its last logged event and its run queue wait since SIGTERM.
     """
 
     driver: str
@@ -68,9 +68,9 @@
 
 
 class DriverFleet:
-    """The drivers named `names`, which are all of a trial's or a part of them.
+    """The drivers named `names`: all drivers of a trial, or a subset.
 
-    `links` must be set before the first driver is started. `ports` holds the drivers that listen.
+    `links` must be set before the first driver is started. `ports` contains the drivers that accept clients.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
         program: Sequence[str] = DRIVER_PROGRAM,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        """`member_port`: the port by which a driver (first) reaches a member (second).
+        """`member_port` returns the port by which a driver (first argument) reaches a member (second).
 
-        `environment`: variables of the drivers' processes beside those that each needs.
+        `environment` holds additional environment variables of the driver processes.
         """
         self._environment = dict(environment or {})
         self.script = script
@@ -105,16 +105,16 @@
         self._all_names = driver_names(script)
         self._log_positions: dict[str, int] = {}
         self._reloads: Counter[str] = Counter()
-        self.exit_statuses: list[ExitStatus] = []  # of drivers that were told to end
-        self.killed_us: dict[str, list[int]] = defaultdict(list)  # when drivers were killed unawares
-        self._restarting: set[str] = set()  # drivers whose process is being ended, or started anew
+        self.exit_statuses: list[ExitStatus] = []  # of drivers that received SIGTERM
+        self.killed_us: dict[str, list[int]] = defaultdict(list)  # times of kills without a preceding SIGTERM
+        self._restarting: set[str] = set()  # drivers that are being stopped or restarted
         discovery_rng = random.Random(self._rng.random())
         self.hosts = PlatformDiscovery(
             self.names, clock, discovery_rng, record, script["list-delay"], member_port
         )
 
     async def start(self) -> None:
-        """Start all of them, at once, and wait until each listens."""
+        """Start all drivers concurrently and wait until each listens."""
         async with trio.open_nursery() as nursery:
             for name in self.names:
                 nursery.start_soon(self.start_driver, name)
@@ -122,7 +122,7 @@
     async def start_driver(self, name: str) -> None:
         """Start one driver and wait until it listens.
 
-        Raises DriverStartError if it ends instead, trio.TooSlowError after START_TIMEOUT_S.
+        Raises DriverStartError if it exits instead, trio.TooSlowError after START_TIMEOUT_S.
         """
         config = self._write_config(name, await self._settings(name))
         process = self.processes.by_name.get(name) or self._add_process(name, config)
@@ -132,7 +132,7 @@
         self._record(rec.EdgeUp(self.clock.now_us(), name))
 
     def events(self, process: ManagedProcess) -> Iterator[dict[str, Any]]:
-        """Yield the events it has logged since the last call."""
+        """Yield the events that a driver has logged since the previous call."""
         position = self._log_positions.get(process.name, 0)
         with process.log.open("rb") as log:
             log.seek(position)
@@ -142,13 +142,13 @@
         yield from _parse_events(lines)
 
     async def run_fault(self, step: Step) -> None:
-        """Play a fault of these drivers' processes, or of their links to discovery, to its end."""
+        """Run a fault of these drivers' processes, or of their links to discovery, until it is over."""
         async with trio.open_nursery() as nursery:
             for name in targeted_drivers(self.script, step):
                 if name not in self.names:
-                    continue  # another process of the trial plays it
+                    continue  # run by another process of the trial
                 if name in self._restarting and step.fault.startswith("edge-"):
-                    continue  # an earlier step is not over
+                    continue  # an earlier step is still in progress
                 self._start_fault(nursery, step, name)
 
     def _start_fault(self, nursery: trio.Nursery, step: Step, name: str) -> None:
@@ -177,7 +177,7 @@
         weights: Sequence[float],
         session_class: type[PlatformSession] = PlatformSession,
     ) -> PlatformSession:
-        """Make a session of a group that goes to the driver at this index of `names`, round robin."""
+        """Create a session of a group that uses the driver at this index of `names`, modulo their number."""
         seed = self._rng.getrandbits(32)
         find_edge = partial(self._address, index)
         return session_class(
@@ -185,7 +185,7 @@
         )
 
     async def run_load(self, until_us: int, weights: Sequence[float]) -> None:
-        """Send these drivers their part of the script's rate until then, each evenly to all groups."""
+        """Send these drivers their share of the script's rate until `until_us`, evenly across groups."""
         classes = request_classes(self.clock.now_us(), self.script["longest-deadline"])
         async with trio.open_nursery() as nursery:
             for index, name in enumerate(self.names):
@@ -198,13 +198,13 @@
                         nursery.start_soon(session.run, until_us, pause_s)
 
     async def shut_down_all(self) -> None:
-        """End all drivers that run, by SIGTERM and in order."""
+        """Shut all running drivers down gracefully, concurrently."""
         async with trio.open_nursery() as nursery:
             for name in self.names:
                 nursery.start_soon(self._terminate_and_restart, name, 0)
 
     async def _open_discovery_link(self, driver: str) -> Relay:
-        """The relay by which a driver reaches its discovery; another one after each of its reloads."""
+        """Return the relay by which a driver reaches its discovery; each reload switches to a new one."""
         assert self.links is not None
         discovery = self.hosts.servers[driver]
         target = f"{DISCOVERY}{self._reloads[driver] or ''}"
@@ -226,7 +226,7 @@
             **self._environment,
         }
         process = self.processes.add(name, [sys.executable, *self._program], environment)
-        # Danger: logs stay in the directory, and ports in an earlier trial's would be taken for this one's.
+        # The log of an earlier trial in the directory would yield a stale port.
         process.log.unlink(missing_ok=True)
         return process
 
@@ -240,7 +240,7 @@
             await trio.sleep(LOG_POLL_S)
 
     def _address(self, index: int) -> EdgeAddress | None:
-        """Name and port of the driver at this index, or of another while it is down; None if all are."""
+        """Name and port of the driver at this index, or of another if it is down; None if all are down."""
         listening = [name for name in self.names if name in self.ports]
         if not listening:
             return None
@@ -250,7 +250,7 @@
 
     async def _kill(self, name: str, restart_delay_us: float) -> None:
         process = self.processes[name]
-        # Two steps that fall due in one turn of a loop that is late both found nothing under way.
+        # Two steps due in the same iteration of a late event loop both passed the check in `run_fault`.
         if process.state is ProcessState.ENDED or name in self._restarting:
             return
         with self._mark_restarting(name):
@@ -269,7 +269,7 @@
             self._restarting.discard(name)
 
     async def _start_after(self, name: str, pause_us: float) -> None:
-        """Start a driver after a pause; 0 leaves it down."""
+        """Start a driver after a pause; 0 leaves it stopped."""
         if pause_us:
             await trio.sleep(pause_us / US)
             await self.start_driver(name)
@@ -277,7 +277,7 @@
     async def _terminate_and_restart(
         self, name: str, restart_delay_us: float, further_signals: Sequence[signal.Signals] = ()
     ) -> None:
-        """Tell a driver to end, kill it when its time is over, and start it again where that is asked for."""
+        """Send SIGTERM to a driver, then SIGKILL on timeout, and restart it unless the delay is 0."""
         process = self.processes[name]
         is_serving = process.state is ProcessState.RUNNING and name in self.ports
         if not is_serving or name in self._restarting:
@@ -296,7 +296,7 @@
 
     @property
     def kill_after_s(self) -> float:
-        """The time from SIGTERM to SIGKILL: the shortest that the operators take."""
+        """Time from SIGTERM to SIGKILL: the shortest that the operators allow."""
         return (min(self.script["longest-deadline"], LONGEST_DEADLINE_US) + KILL_AFTER_DEADLINE_US) / US
 
     async def _shut_down(self, name: str, process: ManagedProcess) -> None:
@@ -310,13 +310,13 @@
             self.exit_statuses.append(ExitStatus(name, status))
             return
         waited_s = ((process.run_queue_wait_ns() or 0) - waited_before_ns) / NS_PER_S
-        # What it leaves unanswered is not excused: it was told in time.
+        # Its unanswered requests are not excused, since it had its full time to shut down.
         process.kill()
         details = f"logged {_last_event(process)!r} last, waited {waited_s:.3f} s for a processor"
         self.exit_statuses.append(ExitStatus(name, KILLED, details))
 
     async def _reload(self, name: str) -> None:
-        """Move a driver's discovery to another address; the old one breaks its connections and takes none."""
+        """Move a driver's discovery to another address; the old one resets and refuses connections."""
         process = self.processes[name]
         if process.state is not ProcessState.RUNNING:
             return
@@ -339,9 +339,9 @@
         start_us = self.clock.now_us()
         process.freeze()
         await trio.sleep(duration_us / US)
-        with suppress(ProcessStateError):  # it was killed meanwhile
+        with suppress(ProcessStateError):  # killed during the stall
             process.thaw()
-        # What waited for it meanwhile is late by the stall, and a little while it catches up.
+        # Requests that waited are late by the stall; the backlog is given the same time again to clear.
         self._record(rec.EdgeStalled(start_us, name, self.clock.now_us() + duration_us))
 
     async def _run_discovery_fault(self, step: Step, name: str) -> None:
@@ -350,17 +350,17 @@
 
 
 def _whole_lines(data: bytes) -> list[bytes]:
-    """The lines that have been written to their end."""
+    """Return the complete lines."""
     return data[: data.rfind(b"\n") + 1].splitlines(keepends=True)
 
 
 def _parse_events(lines: Iterable[bytes]) -> Iterator[dict[str, Any]]:
-    """The events among what a process has written."""
+    """Parse the lines of a log that are events."""
     return (json.loads(line) for line in lines if line.startswith(b"{"))
 
 
 def _last_event(process: ManagedProcess) -> str:
-    """The name of the last event that a process has logged; empty where there is none."""
+    """Name of the last event that a process has logged; empty if there is none."""
     name = ""
     for event in _parse_events(_whole_lines(process.log.read_bytes())):
         name = str(event["event"])
--- a/juniperreel/testbed/driver_settings.py
+++ b/juniperreel/testbed/driver_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that a trial starts one driver with, as the operators' platform would write it."""
+"""The settings file with which a trial starts a driver, as the operators' platform would write it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     hosts: list[dict[str, Any]],
     now_us: int,
 ) -> dict[str, Any]:
-    """Return the whole settings of the driver with this number; `hosts` is the list it starts from."""
+    """Return all settings of the driver with this number; `hosts` is its initial endpoint list."""
     return {
         "name": name,
         "listen": "127.0.0.1:0",
--- a/juniperreel/testbed/drivers_process.py
+++ b/juniperreel/testbed/drivers_process.py
@@ -1,4 +1,4 @@
-"""A process of a trial with some of its drivers."""
+"""A trial process that runs a subset of the drivers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DriversProcess(TrialProcess):
-    """Plays some of the trial's drivers with their discovery and their sessions."""
+    """Runs a subset of the trial's drivers with their discovery servers and client sessions."""
 
     def __init__(
         self, script: Script, arguments: ProcessArguments, control: ControlConnection, record: Recorder
@@ -39,7 +39,7 @@
         super().__init__(script, arguments, control, record)
         directory = arguments.directory / arguments.name
         directory.mkdir(exist_ok=True)
-        self._member_ports: dict[tuple[str, str], int] = {}  # by driver and member
+        self._member_ports: dict[tuple[str, str], int] = {}  # keyed by driver and member
         self._drivers = DriverFleet(
             script,
             [name for number, name in enumerate(driver_names(script)) if arguments.owns(number)],
@@ -53,13 +53,13 @@
         )
 
     def on_host_update(self, update: HostUpdate) -> None:
-        """Hand it to discovery, once the ports are known."""
+        """Store the relay ports, then publish the host through discovery."""
         host = update.host
         self._member_ports |= {(driver, host.id): port for driver, port in update.ports.items()}
         self._drivers.hosts.publish(host, update.delay_us)
 
     async def run(self) -> None:
-        """Play to the trial's end; the drivers have ended then."""
+        """Run until the end of the trial; all drivers have exited on return."""
         own_script = replace(self.script, steps=steps_of_role(self.script, DRIVERS))
         fleet = Fleet(own_script, self.network, self.clock, self.record, frozenset(), self._drivers.hosts)
         async with trio.open_nursery() as nursery:
@@ -87,7 +87,7 @@
         return self._member_ports[driver, member]
 
     async def _wait_for_members(self) -> None:
-        """Return once every driver's discovery has all members of the trial."""
+        """Wait until the discovery server of every driver lists all members of the trial."""
         members = self.script["groups"] * self.script["members"]
         discoveries = self._drivers.hosts.servers.values()
         while any(len(discovery.hosts) < members for discovery in discoveries):
--- a/juniperreel/testbed/errors.py
+++ b/juniperreel/testbed/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the testbed: what went wrong with a trial itself, never with the program that is tried."""
+"""Errors of the testbed: failures of a trial itself, not of the program under test."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class TrialError(RuntimeError):
-    """A trial cannot go on."""
+    """A trial cannot continue."""
 
 
 class ProcessStateError(TrialError):
-    """A fault does not apply to the state a process is in: a frozen process is not frozen again."""
+    """An operation is invalid in the current state of a process, such as freezing a frozen process."""
 
     def __init__(self, process: str, state: str) -> None:
         super().__init__(f"{process} {state}")
@@ -19,7 +19,7 @@
 
 
 class ProcessLostError(TrialError):
-    """A process ended before its time; `output` is the end of what it wrote to its log."""
+    """A process of the trial exited early; `output` is the tail of its log."""
 
     def __init__(self, process: str, output: str) -> None:
         super().__init__(f"{process} ended: {output}")
@@ -28,7 +28,7 @@
 
 
 class DriverStartError(TrialError):
-    """A driver ended before it listened; `output` is the end of what it wrote to its log."""
+    """A driver exited before it listened; `output` is the tail of its log."""
 
     def __init__(self, driver: str, output: str) -> None:
         super().__init__(f"{driver} did not start: {output}")
@@ -37,11 +37,11 @@
 
 
 class ConnectionEndedError(TrialError):
-    """The other end of a control connection has closed it, or sent a line that is too long."""
+    """The peer closed a control connection, or sent a line that exceeds the length limit."""
 
 
 class UnexpectedMessageError(TrialError):
-    """A control message came that its receiver has no use for at that time."""
+    """A control message arrived that is not valid in the receiver's current state."""
 
     def __init__(self, message: Any, expected: str) -> None:
         super().__init__(f"expected {expected}, received {message}")
@@ -50,7 +50,7 @@
 
 
 class UnknownTargetError(TrialError, ValueError):
-    """A fault's target names no driver."""
+    """The target of a fault matches no driver."""
 
     def __init__(self, target: str) -> None:
         super().__init__(f"no driver is named by {target!r}")
--- a/juniperreel/testbed/faulty_driver.py
+++ b/juniperreel/testbed/faulty_driver.py
@@ -1,8 +1,7 @@
-"""The platform's driver with faults of the operating system: `python -m juniperreel.testbed.faulty_driver`.
+"""The platform's driver with injected operating system faults: `python -m juniperreel.testbed.faulty_driver`.
 
-The variable JUNIPERREEL_FAULTS holds JSON: `rates` by kind of fault, the `seed` of their draws, and the
-directory `counts`, which gets two files for each process: how often each fault happened in it, and when it
-was held up.
+The environment variable JUNIPERREEL_FAULTS holds JSON: `rates` by kind of fault, the random `seed`, and the
+directory `counts`, which receives two files per process: how often each fault occurred, and the hold-ups.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 
 
 def main() -> None:
-    """Install the faults and become the driver."""
+    """Install the faults, then run the driver in this process."""
     settings = json.loads(os.environ[FAULTS_VARIABLE])
     rates = {FaultKind(kind): rate for kind, rate in settings["rates"].items()}
     name = Path(os.environ["GW_CONFIG"]).stem
--- a/juniperreel/testbed/injected_faults.py
+++ b/juniperreel/testbed/injected_faults.py
@@ -1,8 +1,8 @@
-"""Faults of the operating system, injected into the process that loads this module, and counted there.
+"""Injects and counts operating system faults in the current process.
 
-System calls fail for a moment or are short, the wall clock is stepped, the process is held up after it read
-its clock, and files can't be read. Each kind has a rate of its own; `InjectedFaults.counts` says how often
-each one happened, so that a trial whose faults did not happen can be told from one that passed.
+System calls fail transiently or transfer less than requested, the wall clock is stepped, the process is held
+up after it has read its clock, and files cannot be read. Each kind has its own rate; `InjectedFaults.counts`
+tells how often each occurred, which distinguishes a trial that passed from one whose faults did not occur.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class FaultKind(Enum):
-    """What can be injected."""
+    """Kinds of faults that can be injected."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
@@ -39,13 +39,13 @@
     SHORT_READ = "short-read"
     SHORT_WRITE = "short-write"
     WRITE = "write"
-    BROKEN_CONNECTION = "broken-connection"  # of those that this process opened
+    BROKEN_CONNECTION = "broken-connection"  # only of connections that this process opened
     SOCKET_OPTION = "socket-option"
     FILE = "file"
     HALF_FILE = "half-file"
-    WALL_CLOCK = "wall-clock"  # it is stepped while the process runs
-    WALL_CLOCK_AT_START = "wall-clock-at-start"  # it was stepped before
-    HOLD_UP = "hold-up"  # behind a reading of the clock
+    WALL_CLOCK = "wall-clock"  # stepped while the process runs
+    WALL_CLOCK_AT_START = "wall-clock-at-start"  # stepped before the process started
+    HOLD_UP = "hold-up"  # after a reading of the clock
     HOLD_UP_IN_WAIT = "hold-up-in-wait"  # while it waits for events
 
 
@@ -64,28 +64,28 @@
 
 
 class SharedCounts:
-    """One number for each kind of fault, in a file that is mapped into memory."""
+    """One counter for each kind of fault, in a memory-mapped file."""
 
     def __init__(self, path: Path) -> None:
-        """Map the file, made with zeros where it does not exist."""
+        """Map the file, creating it with zeros if it does not exist."""
         with path.open("a+b") as file:
             file.truncate(len(FaultKind) * COUNT.size)
             self._map = mmap.mmap(file.fileno(), len(FaultKind) * COUNT.size)
 
     def increment(self, kind: FaultKind) -> None:
-        """Add one to a kind's number."""
+        """Increment the counter of a kind."""
         offset = KINDS.index(kind) * COUNT.size
         (count,) = COUNT.unpack_from(self._map, offset)
         COUNT.pack_into(self._map, offset, count + 1)
 
     def read(self) -> Counter[FaultKind]:
-        """All numbers as they are now."""
+        """Return the current values of all counters."""
         numbers = [count for (count,) in COUNT.iter_unpack(self._map[:])]
         return Counter(dict(zip(KINDS, numbers, strict=True)))
 
 
 class InjectedFaults:
-    """Draws which call fails. `rates` has the part of calls by kind; kinds that it leaves out never fail."""
+    """Decides at random which calls fail. `rates`: fraction of calls by kind; missing kinds never fail."""
 
     def __init__(
         self,
@@ -94,16 +94,16 @@
         counts_file: Path | None = None,
         hold_ups_file: Path | None = None,
     ) -> None:
-        """Count into `counts_file`, and record hold-ups, so that both outlive a process that is killed."""
+        """Write counts and hold-ups to these files, so that both survive a kill of the process."""
         self._hold_ups = None if hold_ups_file is None else HoldUpRecorder(hold_ups_file)
         self._shared = None if counts_file is None else SharedCounts(counts_file)
         self.rates = dict(rates)
         self.counts: Counter[FaultKind] = Counter()
-        self.next_errnos: dict[FaultKind, int] = {}  # the next call of a kind fails with this error
+        self.next_errnos: dict[FaultKind, int] = {}  # forces the next call of a kind to fail with this error
         self.random = random.Random(seed)
 
     def occurs(self, kind: FaultKind) -> bool:
-        """Draw whether a fault happens now, and count it."""
+        """Decide at random whether a fault occurs now, and count it."""
         rate = self.rates.get(kind, 0.0)
         if kind not in self.next_errnos and (not rate or self.random.random() >= rate):
             return False
@@ -113,11 +113,11 @@
         return True
 
     def draw_errno(self, kind: FaultKind) -> int:
-        """One of the errors by which a fault of this kind shows."""
+        """Return one of the errors that a fault of this kind causes."""
         return self.next_errnos.pop(kind, 0) or self.random.choice(ERRNOS[kind])
 
     def hold_up_if_occurs(self, kind: FaultKind) -> None:
-        """Hold the process up where a fault of this kind happens now."""
+        """Hold the process up if a fault of this kind occurs now."""
         if not self.occurs(kind):
             return
         seconds = self.random.uniform(0, MAX_HOLD_UP_S)
@@ -127,29 +127,29 @@
             self._hold_ups.hold_up(seconds)
 
     def raise_if_occurs(self, kind: FaultKind) -> None:
-        """Raise OSError where a fault of this kind happens now."""
+        """Raise OSError if a fault of this kind occurs now."""
         if self.occurs(kind):
             number = self.draw_errno(kind)
             raise OSError(number, os.strerror(number))
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail by `faults`. Takes the place of `socket.socket`."""
+    """A socket whose calls fail as decided by `faults`. Replaces `socket.socket`."""
 
     faults = InjectedFaults({}, 0)
 
     def __init__(
         self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
-    ) -> None:  # the standard library's own names
-        """Open a socket, or fail where none is handed in."""
+    ) -> None:  # parameter names of the standard library
+        """Open a socket, or fail, if no file descriptor is given."""
         if fileno is None:
             self.faults.raise_if_occurs(FaultKind.SOCKET)
         super().__init__(family, type, proto, fileno)
-        self._is_connection = False  # and no listener, nor a pair by which a process wakes itself
+        self._is_connection = False  # false for listeners and for wake-up socket pairs
         self._is_outgoing = False
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection, or fail before one is taken."""
+        """Accept a connection, or fail without taking one from the queue."""
         self.faults.raise_if_occurs(FaultKind.ACCEPT)
         connection, address = super().accept()
         if not isinstance(connection, FaultySocket):
@@ -187,7 +187,7 @@
         return super().send(data, flags)
 
     def recv(self, bufsize: int, flags: int = 0) -> bytes:
-        """Receive some of what is there, or fail."""
+        """Receive some of the available data, or fail."""
         if not self._is_connection:
             return super().recv(bufsize, flags)
         self._break_if_occurs()
@@ -201,7 +201,7 @@
 
 
 def install(faults: InjectedFaults) -> None:
-    """Inject the faults into this process from now on. To be called before sockets are imported by name."""
+    """Install the faults in this process. Must be called before `socket.socket` is imported by name."""
     FaultySocket.faults = faults
     socket.socket = FaultySocket  # type: ignore[misc]
     _install_wall_clock(faults)
@@ -210,7 +210,7 @@
 
 
 def _install_wall_clock(faults: InjectedFaults) -> None:
-    """Have the wall clock stepped, by seconds or an hour, at any reading."""
+    """Step the wall clock by seconds or an hour, at any reading."""
     read_ns = time.time_ns
     step_s = 0.0
     if faults.occurs(FaultKind.WALL_CLOCK_AT_START):
@@ -227,7 +227,7 @@
 
 
 def _install_hold_ups(faults: InjectedFaults) -> None:
-    """Hold the process up now and then, between a reading of its clock and what it does with it."""
+    """Hold the process up between a reading of its clock and the use of the result."""
     now_us = Clock.now_us
 
     def held_up(clock: Clock) -> int:
@@ -240,14 +240,14 @@
 
 
 def _install_hold_ups_in_waits(faults: InjectedFaults) -> None:
-    """Hold the process up while it waits for events, which are found at the end of the wait."""
+    """Hold the process up while it waits for events, so that it returns from the poll late."""
     open_epoll = select.epoll
     hold_up = partial(faults.hold_up_if_occurs, FaultKind.HOLD_UP_IN_WAIT)
     select.epoll = partial(HeldUpEpoll, open_epoll, hold_up)  # type: ignore[assignment, misc]
 
 
 def _install_files(faults: InjectedFaults) -> None:
-    """Have files fail to be read, or be found half written."""
+    """Make reading a file fail, or return only the first half of its content."""
     read_bytes = Path.read_bytes
 
     def faulty(path: Path) -> bytes:
--- a/juniperreel/testbed/links.py
+++ b/juniperreel/testbed/links.py
@@ -1,4 +1,4 @@
-"""All links of a trial, by who connects and to whom, and a script's faults on them."""
+"""The links of a trial, identified by source and target, and the script's faults on them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class LinkName(NamedTuple):
-    """A directed link: who opens its connections, and to whom."""
+    """A directed link: `source` opens its connections to `target`."""
 
     source: str
     target: str
 
 
 class Links:
-    """All relays of a trial, each started when it is first asked for; they run in `nursery`."""
+    """The relays of a trial, each started on first use; they run in `nursery`."""
 
     def __init__(self, network: Network, nursery: trio.Nursery, seed: int) -> None:
         self._network = network
@@ -31,7 +31,7 @@
         self.relays: dict[LinkName, Relay] = {}
 
     async def open(self, source: str, target: str, dial: Dial) -> Relay:
-        """Return the relay of a link, made if there is none, with `dial` as its way to the target."""
+        """Return the relay of a link, creating it if needed; it connects to the target with `dial`."""
         name = LinkName(source, target)
         relay = self.relays.get(name)
         if relay is None:
@@ -42,7 +42,7 @@
         return relay
 
     def select(self, sources: Iterable[str], targets: Iterable[str]) -> list[Relay]:
-        """Relays of the links from any of the sources to any of the targets, in the order they were made."""
+        """Return the relays from any of the sources to any of the targets, in order of creation."""
         wanted_sources = set(sources)
         wanted_targets = set(targets)
         return [
@@ -52,25 +52,25 @@
         ]
 
     def cut(self, sources: Iterable[str], targets: Iterable[str], *, one_way: bool = False) -> None:
-        """Cut the sources off from the targets; with `one_way` answers still come through."""
+        """Cut the links from the sources to the targets; with `one_way`, answers still pass."""
         for relay in self.select(sources, targets):
             relay.cut(reverse=not one_way)
 
     def heal(self, sources: Iterable[str], targets: Iterable[str]) -> None:
-        """End cuts from the sources to the targets."""
+        """Heal the links from the sources to the targets."""
         for relay in self.select(sources, targets):
             relay.heal()
 
 
 async def run_link_fault(relays: Sequence[Relay], step: Step) -> None:
-    """Inject a step's fault into these links and clear it after the step's duration."""
+    """Inject a step's fault into these links and clear it after the duration of the step."""
     inject_link_fault(relays, step)
     await trio.sleep(step.for_us / US)
     clear_link_faults(relays)
 
 
 def inject_link_fault(relays: Sequence[Relay], step: Step) -> None:
-    """Begin a fault: a reset, a delay split over both directions, or a cut of both or of the answers."""
+    """Inject a fault: a reset, a delay split over both directions, or a cut of both or of the answers."""
     for relay in relays:
         if step.fault == "link-reset":
             relay.reset()
@@ -81,7 +81,7 @@
 
 
 def clear_link_faults(relays: Sequence[Relay]) -> None:
-    """End cuts and delays, whichever step began them."""
+    """Clear cuts and delays, including those of other steps."""
     for relay in relays:
         relay.heal()
         _set_delay(relay, 0)
--- a/juniperreel/testbed/members_process.py
+++ b/juniperreel/testbed/members_process.py
@@ -1,4 +1,4 @@
-"""A process of a trial with the members of some groups, and the links to them."""
+"""A trial process that runs the members of some groups and the links to them."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class PendingHostUpdate(NamedTuple):
-    """A host on its way to discovery; `delay_us` is None where discovery's own delay holds."""
+    """A host update queued for discovery; `delay_us` is None to use discovery's default delay."""
 
     host: hosts_pb2.Host
     delay_us: int | None
 
 
 class HostUpdateQueue(EndpointListRelay):
-    """Stands where a fleet's host list does and queues its updates for the trial.
+    """Replaces the host list of a fleet and queues its updates for the trial.
 
-    They are sent later since a driver needs a port to a member before it hears of the member.
+    Updates are sent later because a driver needs the relay port of a member before it learns of the member.
     """
 
     def __init__(self) -> None:
@@ -45,10 +45,10 @@
 
 
 class MembersProcess(TrialProcess):
-    """Plays the members of some groups, and the links to them from all drivers of the trial."""
+    """Runs the members of some groups, and the links to them from all drivers of the trial."""
 
     async def run(self) -> None:
-        """Play to the trial's end."""
+        """Run until the end of the trial."""
         own_script = replace(self.script, steps=steps_of_role(self.script, MEMBERS))
         own_script.settings = self.script.settings | {"seed": self.rng.getrandbits(31)}
         groups = frozenset(number for number in range(self.script["groups"]) if self.arguments.owns(number))
--- a/juniperreel/testbed/multi_process_trial.py
+++ b/juniperreel/testbed/multi_process_trial.py
@@ -1,7 +1,7 @@
-"""A trial of tens to hundreds of drivers: members, drivers and sessions, played by several processes.
+"""A trial of tens to hundreds of drivers whose members, drivers and sessions run in several processes.
 
-This process starts them (`process_group.py`), passes on what discovery is to say, gives the day's beginning
-and end, and merges their records in order of time. All are on one machine: times are of its one clock.
+This process starts the others (`process_group.py`), forwards host updates to discovery, announces start and
+end of the script, and merges the recordings by time. All run on one machine and share its clock.
 """
 
 from __future__ import annotations
@@ -36,24 +36,24 @@
 from juniperreel.verification import records as rec
 
 MAX_MEMBERS_PROCESSES = 4
-START_TIMEOUT_S = 300  # for hundreds of processes, on a machine that has much else to do
-START_LEAD_US = 500_000  # the day's beginning is sent so long before it
+START_TIMEOUT_S = 300  # allows for hundreds of processes on a loaded machine
+START_LEAD_US = 500_000  # from the announcement of the start to the start itself
 END_TIMEOUT_S = 60.0
-IN_FLIGHT_WAIT_S = 5.0  # after the last request, for those that are in flight
+IN_FLIGHT_WAIT_S = 5.0  # after the last request, for requests in flight
 POLL_S = 0.2
 LOG_TAIL_CHARACTERS = 2000
 
 
 class MultiProcessTrial:
-    """One trial. `records` and `counts` (by process) are what it leaves."""
+    """One trial, whose results are `records` and `counts` (keyed by process)."""
 
     def __init__(
         self, script: Script, directory: Path, driver_processes: int, program: Sequence[str] = ()
     ) -> None:
-        """`directory` keeps settings, logs and parts of the recording.
+        """`directory` receives settings, logs and the recordings of the processes.
 
-        `driver_processes` bounds the processes for drivers; `program` is what a driver is started by, the
-        platform's own command if empty.
+        `driver_processes` is the maximum number of processes for drivers. `program` is the command that
+        starts a driver; the platform's own command if empty.
         """
         self.script = script
         self.drivers = driver_names(script)
@@ -72,9 +72,10 @@
         self._clock = Clock()
 
     async def run(self, report: Callable[[str], None] = lambda _: None) -> None:
-        """Play the day; `report` is given a line of progress now and then.
+        """Run the script; `report` receives lines of progress.
 
-        Raises ProcessLostError in a group, and trio.TooSlowError where processes do not start or end.
+        Raises an exception group with ProcessLostError if a process exits early, or with trio.TooSlowError
+        if processes do not start or exit in time.
         """
         began_us = self._clock.now_us()
         try:
@@ -108,7 +109,7 @@
                 self.processes.add(f"{role}-{part}", command, environment).start()
 
     async def _wait_until_ready(self, report: Callable[[str], None]) -> None:
-        """Return once members run, then drivers too."""
+        """Wait until all members run, then start the drivers and wait for them."""
         await self._wait_for(self._all_connected)
         members = {name for name in self._names if name.startswith(MEMBERS)}
         await self._wait_for(lambda: members <= self._ready)
@@ -135,7 +136,7 @@
         return len(self._connections) == len(self._names)
 
     async def _watch_processes(self) -> None:
-        """Raise ProcessLostError when a process has ended before it has sent its counts."""
+        """Raise ProcessLostError when a process exits before it has sent its counts."""
         while True:
             await trio.sleep(POLL_S)
             for name in self._names:
@@ -145,7 +146,7 @@
                     raise ProcessLostError(name, output[-LOG_TAIL_CHARACTERS:])
 
     async def _broadcast(self, message: Message, role: str = "") -> None:
-        """Send to all processes of a role, of any role if none is given."""
+        """Send a message to all processes of a role, or to all processes if none is given."""
         for name, connection in self._connections.items():
             if name.startswith(role):
                 await connection.send(message)
@@ -175,19 +176,19 @@
                         case ProcessCounts() as counts:
                             self.counts[name] = counts
             except ConnectionEndedError:
-                return  # `_watch_processes` judges whether it was allowed to end
+                return  # `_watch_processes` detects an early exit
 
     async def _forward_host_update(self, update: HostUpdate) -> None:
-        """Send an update to all processes with drivers, each with the ports of its own drivers."""
+        """Send an update to all processes that run drivers, each with the ports of its own drivers."""
         parts = self._parts[DRIVERS]
-        await self._wait_for(self._all_connected)  # members may be there before drivers
+        await self._wait_for(self._all_connected)  # members may connect before drivers do
         for part in range(parts):
             ports = {driver: update.ports[driver] for driver in self.drivers[part::parts]}
             message = HostUpdate(update.serialized_host, update.delay_us, ports)
             await self._connections[f"{DRIVERS}-{part}"].send(message)
 
     def _merge_records(self, start_us: int) -> list[rec.Record]:
-        """Records of all processes in order of time; each fault, which every process wrote, comes once."""
+        """Merge the records of all processes by time, and add each fault once: every process records it."""
         shape = EndpointSettings(slow_start_us=self.script["cold-span"])
         classes = request_classes(start_us, self.script["longest-deadline"])
         merged: list[rec.Record] = [*classes, limits(start_us, shape)]
--- a/juniperreel/testbed/parent_watchdog.py
+++ b/juniperreel/testbed/parent_watchdog.py
@@ -1,10 +1,10 @@
-"""Runs a program that ends with its parent.
+"""Runs a program that is killed when its parent process exits.
 
     python -S -E parent_watchdog.py PARENT PROGRAM ARGUMENTS...
 
-The kernel kills the program when the process PARENT, which started it, has ended for whatever reason: no
-process outlives a trial that was itself killed.
-Standard library only: this is a script, which nothing imports.
+The kernel kills the program when the process PARENT, which started it, exits for any reason, so that no
+process survives a trial that was itself killed.
+Uses the standard library only: it runs as a script, without site packages, and nothing imports it.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Ask the kernel for the signal, then become the program.
+    """Request the parent-death signal from the kernel, then execute the program.
 
-    Ends with PARENT_ENDED_STATUS where the parent ended before the kernel was asked. Raises OSError.
+    Exits with PARENT_ENDED_STATUS if the parent exited before the request. Raises OSError.
     """
     parent, *command = arguments
     libc = ctypes.CDLL(None, use_errno=True)
--- a/juniperreel/testbed/picture.py
+++ b/juniperreel/testbed/picture.py
@@ -1,4 +1,4 @@
-"""Draws a trial from its records: each replica's load second by second, what was served, and the faults."""
+"""Plots a trial from its records: load of each replica per second, fraction served, and faults."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 WIDTH_INCHES = 14.0
 ROW_INCHES = 0.16
 MIN_GROUP_INCHES = 1.0
-SERVED_PLOT_INCHES = 2.5  # the curve of what was served, with titles
+SERVED_PLOT_INCHES = 2.5  # the plot of served requests, with titles
 DOTS_PER_INCH = 110
-MAX_SHARE = 2.0  # times the fair share, where the colours end
-LABEL_ROWS = 5  # faults' labels alternate between so many heights
+MAX_SHARE = 2.0  # upper end of the colour scale, in multiples of the fair share
+LABEL_ROWS = 5  # number of heights between which fault labels alternate
 NOT_ELIGIBLE = float("nan")
 
 
 class GroupShares:
-    """A group's replicas by second: what each got relative to its fair share.
+    """The load of each replica of a group per second, relative to its fair share.
 
-    A second in which a replica is not able to work is NOT_ELIGIBLE. Times are microseconds.
+    Seconds in which a replica is not eligible for work are NOT_ELIGIBLE. Times are in microseconds.
     """
 
     def __init__(
@@ -46,12 +46,12 @@
 
     @property
     def height_inches(self) -> float:
-        """Height of its part of the picture."""
+        """Height of the group's plot."""
         return max(len(self.members) * ROW_INCHES, MIN_GROUP_INCHES)
 
 
 def served_fractions(records: list[rec.Record], since: int, until: int) -> list[float]:
-    """For each full second, the fraction of its requests that was served; 1 where there were none."""
+    """For each full second, the fraction of its requests that were served; 1 if there were none."""
     final_answers = {
         (r.request_id, r.client_attempt): r for r in records if isinstance(r, rec.ResponseReceived)
     }
@@ -68,7 +68,7 @@
 
 
 def draw_picture(records: list[rec.Record], out: Path) -> None:
-    """Write the picture to `out` as PNG. Raises ValueError if there was no request."""
+    """Write the plot to `out` as PNG. Raises ValueError if the recording contains no request."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -110,8 +110,8 @@
             shares.rows, aspect="auto", cmap="coolwarm", vmin=0, vmax=MAX_SHARE, extent=extent
         )
         axis.set_yticks(range(len(shares.members)), shares.members, fontsize=6)
-        figure.colorbar(image, ax=axis, label="of the fair part")
-    axis.set_title(f"group {shares.group}: work of replicas; white is even, grey not able", fontsize=9)
+        figure.colorbar(image, ax=axis, label="load / fair share")
+    axis.set_title(f"group {shares.group}: replica load (white: fair share, grey: not eligible)", fontsize=9)
     axis.set_facecolor("lightgrey")
 
 
@@ -123,7 +123,7 @@
 
 
 def _draw_faults(axes: Sequence[Any], faults: Sequence[rec.Fault], since: int) -> None:
-    """A dotted line through all axes for each fault, with its text in the last one."""
+    """Draw a dotted line through all axes for each fault, with its text in the last one."""
     for number, fault in enumerate(faults):
         second = (fault.at - since) / US
         for axis in axes:
--- a/juniperreel/testbed/process_group.py
+++ b/juniperreel/testbed/process_group.py
@@ -1,10 +1,10 @@
-"""One process of a trial that several play: the members of some groups with their links, or some drivers.
+"""One process of a multi-process trial: the members of some groups with their links, or some drivers.
 
     python -m juniperreel.testbed.process_group SCRIPT members|drivers PART OF PORT DIRECTORY [PROGRAM...]
 
-It takes its orders from the trial that listens on PORT (`control_messages.py`), writes its records into
-DIRECTORY and ends with the trial. A script's faults are the same in every process; the random members that a
-fault strikes are drawn by the process that plays them.
+It is controlled by the trial that listens on PORT (`control_messages.py`), writes its recording into
+DIRECTORY and exits with the trial. Every process derives the same faults from the script; the random members
+that a fault affects are drawn by the process that runs the fault.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 async def run_process(arguments: ProcessArguments) -> None:
-    """Connect to the trial, play this process's part and leave its recording."""
+    """Connect to the trial, run this process's part and write its recording."""
     script = parse(arguments.script_path.read_text(encoding="utf-8"))
     stream = await TcpNetwork().connect("127.0.0.1", arguments.control_port, CONNECT_TIMEOUT_US)
     control = ControlConnection(stream)
@@ -37,8 +37,8 @@
 
 
 def main() -> None:
-    """The process's entry point."""
-    # Hundreds of drivers hold thousands of connections to the members of one process, three descriptors each.
+    """Entry point of the process."""
+    # Hundreds of drivers open thousands of connections to one process's members, three descriptors each.
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
     trio.run(run_process, ProcessArguments.parse(sys.argv[1:]))
--- a/juniperreel/testbed/processes.py
+++ b/juniperreel/testbed/processes.py
@@ -1,7 +1,7 @@
-"""The program's processes of one trial: started, killed, frozen, thawed, their disks kept or lost.
+"""Starts, kills, freezes and thaws the program's processes of one trial, with or without losing their disks.
 
-Each has a working directory of its own, which stands for its disk. All of them end with the trial, by process
-id, also when the trial itself is killed (`parent_watchdog.py`). Knows nothing of what the programs do.
+Each has its own working directory, which represents its disk. All of them are killed by process id when the
+trial ends, and by the kernel if the trial itself is killed (`parent_watchdog.py`).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ProcessState(Enum):
-    """What a process does now; one that was never started counts as ended."""
+    """State of a process; one that was never started counts as ended."""
 
     RUNNING = "running"
     FROZEN = "frozen"
@@ -33,7 +33,7 @@
 
 
 class ManagedProcess:
-    """One process under its name, over all its starts, which `starts` counts."""
+    """A named process across all its starts, which `starts` counts."""
 
     def __init__(
         self,
@@ -53,32 +53,32 @@
 
     @property
     def pid(self) -> int:
-        """Process id of the last start. Raises ProcessStateError if there was none."""
+        """Process id of the last start. Raises ProcessStateError if it was never started."""
         return self._started_process().pid
 
     @property
     def status(self) -> int | None:
-        """Exit status of the last start, negative for a signal; None while it runs and before the first."""
+        """Exit status of the last start, negative for a signal; None while running or never started."""
         return None if self._process is None else self._process.poll()
 
     @property
     def state(self) -> ProcessState:
-        """What it does now."""
+        """Current state."""
         if self._process is None or self._process.poll() is not None:
             return ProcessState.ENDED
         return ProcessState.FROZEN if self._frozen else ProcessState.RUNNING
 
     def start(self) -> None:
-        """Start it on the disk it has.
+        """Start it with its existing disk.
 
-        Raises ProcessStateError while it runs, OSError if it cannot be started.
+        Raises ProcessStateError if it is running, OSError if it cannot be started.
         """
         if self.state is not ProcessState.ENDED:
             raise ProcessStateError(self.name, "runs already")
         self.directory.mkdir(parents=True, exist_ok=True)
         watchdog = [sys.executable, "-S", "-E", str(PARENT_WATCHDOG), str(os.getpid())]
         with self.log.open("ab") as log:
-            # Started from this thread: the kernel takes the end of the starting thread for the parent's.
+            # Not from a worker thread: the parent-death signal is sent when the starting thread exits.
             self._process = subprocess.Popen(
                 [*watchdog, *self._command],
                 cwd=self.directory,
@@ -91,42 +91,42 @@
         self.starts += 1
 
     def kill(self) -> None:
-        """Kill it at once and keep its disk; does nothing if it has ended."""
+        """Send SIGKILL and keep its disk; no effect if it has ended."""
         if self.state is not ProcessState.ENDED:
             self._signal(signal.SIGKILL)
             self._started_process().wait()
 
     def kill_and_wipe_disk(self) -> None:
-        """Lose its machine with the disk: what it wrote is gone when it is started again."""
+        """Kill it and delete its disk, as when its machine is lost."""
         self.kill()
         shutil.rmtree(self.directory, ignore_errors=True)
 
     def terminate(self) -> None:
-        """Ask it to end (SIGTERM); does nothing if it has ended."""
+        """Send SIGTERM; no effect if it has ended."""
         self._signal(signal.SIGTERM)
 
     def reload(self) -> None:
-        """Tell it to reload its configuration (SIGHUP); does nothing if it has ended."""
+        """Send SIGHUP, which reloads its configuration; no effect if it has ended."""
         self._signal(signal.SIGHUP)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send it a signal; does nothing if it has ended."""
+        """Send a signal; no effect if it has ended."""
         self._signal(number)
 
     def freeze(self) -> None:
-        """Stop its execution until `thaw`. Raises ProcessStateError unless it is running."""
+        """Suspend it (SIGSTOP) until `thaw`. Raises ProcessStateError unless it is running."""
         self._require_state(ProcessState.RUNNING)
         self._signal(signal.SIGSTOP)
         self._frozen = True
 
     def thaw(self) -> None:
-        """Let a frozen process go on. Raises ProcessStateError unless it is frozen."""
+        """Resume it (SIGCONT). Raises ProcessStateError unless it is frozen."""
         self._require_state(ProcessState.FROZEN)
         self._signal(signal.SIGCONT)
         self._frozen = False
 
     def run_queue_wait_ns(self) -> int | None:
-        """How long it has waited for a processor since its start; None where the kernel does not tell."""
+        """Time in the scheduler's run queue since its start; None if the kernel does not report it."""
         try:
             fields = Path(f"/proc/{self.pid}/schedstat").read_text().split()
             return int(fields[SCHEDSTAT_RUN_DELAY])
@@ -134,7 +134,7 @@
             return None
 
     async def wait(self) -> int:
-        """Wait for its end, for whatever reason, and return its exit status.
+        """Wait until it exits for any reason and return its exit status.
 
         Raises ProcessStateError if it was never started.
         """
@@ -163,7 +163,7 @@
 
 
 class Processes:
-    """All processes of a trial, by name. `directory` is the trial's own."""
+    """The processes of a trial, by name. `directory` belongs to the trial."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
@@ -173,7 +173,7 @@
         return self.by_name[name]
 
     def add(self, name: str, command: Sequence[str], environment: Mapping[str, str]) -> ManagedProcess:
-        """Add a process that is not started yet. Raises ValueError if the name is taken."""
+        """Add a process without starting it. Raises ValueError if the name is taken."""
         if name in self.by_name:
             raise ValueError(f"{name} is there already")
         process = ManagedProcess(name, command, self._directory / name, environment)
@@ -181,14 +181,14 @@
         return process
 
     def kill_all(self) -> None:
-        """Kill all that run, frozen ones too."""
+        """Kill all running and frozen processes."""
         for process in self.by_name.values():
             process.kill()
 
 
 @asynccontextmanager
 async def open_processes(directory: Path) -> AsyncIterator[Processes]:
-    """Processes of a trial: whatever was started inside the block has ended outside of it."""
+    """Manage the processes of a trial; all of them have ended when the block exits."""
     processes = Processes(directory)
     try:
         yield processes
--- a/juniperreel/testbed/relay.py
+++ b/juniperreel/testbed/relay.py
@@ -1,8 +1,8 @@
-"""One relay for each directed link between two processes of a trial, with what networks do to links.
+"""TCP relays that emulate network faults; each directed link between two processes of a trial has its own.
 
-A cut is silent, as on a real network: what was written stays in transit and arrives when the cut heals,
-unless its sender has closed the connection by then; new connections are established (the kernel accepts them)
-and no byte passes on them. Each direction is cut, delayed and slowed on its own. Bytes are never interpreted.
+A cut is silent, as on a real network: bytes written stay in transit and arrive when the cut heals, unless
+the sender has closed the connection by then; new connections are established (the kernel accepts them) but
+carry no data. Each direction is cut, delayed and throttled separately. The data is not interpreted.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from juniperreel.net.clock import US
 
 CHUNK_BYTES = 65_536
-MAX_CHUNKS_IN_TRANSIT = 64  # a direction that holds so many stops reading
+MAX_CHUNKS_IN_TRANSIT = 64  # a direction that holds as many stops reading
 CONNECT_TIMEOUT_US = 5_000_000
-LINGER_ZERO = struct.pack("ii", 1, 0)  # close drops what is not sent, and resets the connection
+LINGER_ZERO = struct.pack("ii", 1, 0)  # close discards unsent data and resets the connection
 
 
-# Opens the far end of a relayed connection, or raises ConnectError. Its argument tells whether whoever
-# connected to the relay has ended that connection, as the kernel knows it now and not by what has been read.
+# Opens the far end of a relayed connection, or raises ConnectError. The argument returns whether the near
+# end has closed its connection to the relay: the kernel's current state, regardless of what has been read.
 Dial = Callable[[Callable[[], bool]], Awaitable[trio.abc.Stream]]
 
 
 def connect_to_port(network: Network, port: int) -> Dial:
-    """Return a dial function for a local port that connects whatever the near end does."""
+    """Return a dial function for a local port that ignores the state of the near end."""
     return partial(_connect, network, port)
 
 
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class LinkDirection:
-    """One direction of a link: its faults now, and what it has carried. 0 means no limit on the rate."""
+    """One direction of a link: its active faults and byte count. A rate of 0 means unlimited."""
 
     is_cut: bool = False
     delay_us: int = 0
@@ -53,23 +53,23 @@
     healed: trio.Event = field(default_factory=trio.Event)
 
     async def wait_until_healed(self) -> None:
-        """Return at once where it is not cut."""
+        """Wait until the direction is not cut."""
         while self.is_cut:
             await self.healed.wait()
 
     def cut(self) -> None:
-        """Hold all that is in transit, from now on."""
+        """Hold all bytes in transit from now on."""
         self.is_cut = True
 
     def heal(self) -> None:
-        """Let pass what is in transit and all that follows."""
+        """Release the bytes in transit and let new ones pass."""
         self.is_cut = False
         self.healed.set()
         self.healed = trio.Event()
 
 
 class DelayedChunk(NamedTuple):
-    """Bytes in transit, with trio's time at which they may arrive."""
+    """Bytes in transit, with the trio time at which they may arrive."""
 
     due: float
     data: bytes
@@ -77,17 +77,17 @@
 
 @dataclass(slots=True, eq=False)
 class RelayedConnection:
-    """One connection through a relay; `far` is None until it has been opened."""
+    """One connection through a relay; `far` is None until it is open."""
 
     near: trio.abc.Stream
     far: trio.abc.Stream | None = None
 
 
 class Relay:
-    """Listens on a port of its own and carries what comes there to where `dial` leads.
+    """Listens on its own port and forwards each connection to a stream opened by `dial`.
 
-    `forward` is the direction from whoever connects, `reverse` that of the answers. While `refusing`, new
-    connections are reset.
+    `forward` is the direction from the near end, which connected, to the far end; `reverse` is the direction
+    of the answers. While `refusing` is set, new connections are reset.
     """
 
     def __init__(self, network: Network, dial: Dial, seed: int) -> None:
@@ -101,7 +101,7 @@
         self._connections: set[RelayedConnection] = set()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Listen, on `port` if it is set, and carry connections until cancelled."""
+        """Listen, on `port` if it is set, and forward connections until cancelled."""
         listener = await self._network.listen("127.0.0.1", self.port)
         self.port = listener.port
         try:
@@ -119,23 +119,23 @@
 
     @property
     def connections(self) -> int:
-        """How many connections it carries now."""
+        """Number of open connections."""
         return len(self._connections)
 
     def cut(self, *, forward: bool = True, reverse: bool = True) -> None:
-        """Cut the named directions and leave the other as it is."""
+        """Cut the given directions and leave the other unchanged."""
         if forward:
             self.forward.cut()
         if reverse:
             self.reverse.cut()
 
     def heal(self) -> None:
-        """Heal both directions; delays stay."""
+        """Heal both directions; delays remain."""
         self.forward.heal()
         self.reverse.heal()
 
     def reset(self) -> None:
-        """Reset all its connections at once, at both ends."""
+        """Reset all connections at both ends."""
         for connection in list(self._connections):
             reset_connection(connection.near)
             if connection.far is not None:
@@ -169,14 +169,14 @@
         direction: LinkDirection,
         both_directions: trio.CancelScope,
     ) -> None:
-        """Carry one direction to its end, then end the whole connection: all before the end has arrived."""
+        """Copy one direction to its end and deliver all its data, then close the connection."""
         send, receive = trio.open_memory_channel[DelayedChunk](MAX_CHUNKS_IN_TRANSIT)
         source_ended = trio.Event()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, source, direction, send, source_ended)
             async with receive:
                 await self._write(receive, sink, direction, source_ended)
-            # The end of a connection does not show through a cut either.
+            # A close does not pass through a cut either.
             await direction.wait_until_healed()
             both_directions.cancel()
 
@@ -194,7 +194,7 @@
             was_cut = direction.is_cut
             await direction.wait_until_healed()
             if was_cut and direction is self.forward and source_ended.is_set():
-                # Danger: what its sender gave up during the cut would look as if sent after the heal.
+                # The sender gave up during the cut; delivered now, the data would seem sent after the heal.
                 return
             direction.carried_bytes += len(chunk.data)
             try:
@@ -230,8 +230,8 @@
 
 
 def reset_connection(stream: trio.abc.Stream) -> None:
-    """End a connection so that the peer's next call on it fails; harmless on a closed one."""
+    """Reset a connection, so that the peer's next call on it fails; has no effect if already closed."""
     if isinstance(stream, trio.SocketStream):
-        with suppress(OSError):  # it may be closed already
+        with suppress(OSError):  # may be closed already
             stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         stream.socket.close()
--- a/juniperreel/testbed/run_queue.py
+++ b/juniperreel/testbed/run_queue.py
@@ -1,7 +1,7 @@
-"""How long processes wait for a processor, recorded from outside of them.
+"""Measures from outside how long processes wait in the scheduler's run queue.
 
-A machine that has too much to do holds processes up as the injected hold-ups do. The kernel counts, for each
-process, how long it was ready to run and did not; the samples of that count tell when.
+An overloaded machine holds processes up just as injected hold-ups do. For each process, the kernel counts the
+time for which it was runnable but did not run; samples of that counter tell when it waited.
 """
 
 from __future__ import annotations
@@ -19,37 +19,37 @@
 from juniperreel.testbed.processes import ManagedProcess
 
 SAMPLE_INTERVAL_S = 0.005
-MAX_WAIT_US = 10_000_000  # that is looked for behind a span in which it may have begun
+MAX_WAIT_US = 10_000_000  # longest wait considered: it may begin in an interval and end after it
 
 
 class WaitSample(NamedTuple):
-    """The kernel's count at a time of the monotonic clock, of the process that had this id."""
+    """The kernel's wait counter of a process at a time of the monotonic clock."""
 
     at_us: int
     pid: int
-    waited_us: int  # since that process began
+    waited_us: int  # total since the process started
 
 
 class RunQueueWaits:
-    """The samples of processes, by name, and what follows from them."""
+    """Samples by process name, and the waits derived from them."""
 
     def __init__(self) -> None:
-        """Start without samples."""
+        """Create an empty collection."""
         self._samples: defaultdict[str, list[WaitSample]] = defaultdict(list)
 
     def add(self, name: str, sample: WaitSample) -> None:
-        """Add a sample; those of one process come in the order of time."""
+        """Add a sample; samples of one process must be added in order of time."""
         self._samples[name].append(sample)
 
     def samples(self, name: str) -> Sequence[WaitSample]:
-        """Return what was sampled of a process so far."""
+        """Return the samples of a process so far."""
         return tuple(self._samples.get(name, ()))
 
     def waited_us(self, name: str, start_us: int, end_us: int, hold_ups: Sequence[HoldUp] = ()) -> int:
-        """Return how long it waited within a span at the least, beside recorded hold-ups.
+        """Return a lower bound of its wait within an interval, excluding recorded hold-ups.
 
-        The kernel counts a wait when it is over, at some time between two samples. What may have been outside
-        of the span, or within a hold-up, is not counted.
+        The kernel counts a wait when it ends, at some time between two samples. Time that may lie outside the
+        interval, or within a hold-up, is not counted.
         """
         samples = self._samples.get(name, [])
         first = max(bisect_left(samples, (start_us,)) - 1, 0)
@@ -73,10 +73,10 @@
 
 
 class RunQueueRecorder:
-    """Samples processes, which may come and go, from a thread of its own, whether the loop is late or not."""
+    """Samples processes, which may start and exit, from its own thread, so that loop lag does not matter."""
 
     def __init__(self, processes: Mapping[str, ManagedProcess]) -> None:
-        """`processes` by name; may gain entries while this runs."""
+        """`processes` is keyed by name and may gain entries while this runs."""
         self.waits = RunQueueWaits()
         self._processes = processes
 
@@ -96,7 +96,7 @@
     def _sample(self, process: ManagedProcess) -> None:
         if not process.starts:
             return
-        # Whether it has ended is not asked: that would take its exit status from who waits for it.
+        # Does not poll the process, which would reap its exit status before the task that waits for it.
         pid = process.pid
         waited_ns = process.run_queue_wait_ns()
         if waited_ns is not None:
--- a/juniperreel/testbed/scenario.py
+++ b/juniperreel/testbed/scenario.py
@@ -1,6 +1,6 @@
-"""What all processes of one trial agree on: drivers' names, targets of faults, load and request classes.
+"""Definitions shared by all processes of a trial: driver names, fault targets, load and request classes.
 
-Derived from the script alone, so that every process of a trial comes to the same answers by itself.
+Derived from the script alone, so that every process of a trial computes the same values independently.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 from juniperreel.verification import records as rec
 
 REPOSITORY = Path(__file__).parents[2]
-DRIVER_PROGRAM = ("-m", "juniperreel.platform")  # arguments of the interpreter that start a driver
-DISCOVERY = "list"  # discovery's name as a target of link faults
-ZONES = 2  # drivers and members alternate between them
+DRIVER_PROGRAM = ("-m", "juniperreel.platform")  # interpreter arguments that start a driver
+DISCOVERY = "list"  # name of discovery as a target of link faults
+ZONES = 2  # drivers and members are assigned to them alternately
 
 DRAIN_GRACE_US = 2_000_000
 DEDUPLICATION_WINDOW_US = 5_000_000
 MAX_STALENESS_US = 300_000
-# Danger: on a machine that has much else to do, what a driver sent in time arrives late, and the checker
-# counts a read's age from its arrival. Replicas that lag do so by seconds here.
+# On a loaded machine a request that the driver sent in time arrives late, and the checker measures the age
+# of a read from its arrival, hence the margin. Injected replica lag is seconds long, so it still shows.
 CHECKED_STALENESS_US = MAX_STALENESS_US + 500_000
 MAX_ATTEMPTS = 6
 
 LATENCY_OBJECTIVES_US = (1_000_000, 1_200_000, 2_000_000)  # of `request_classes`
-CLASS_WEIGHTS = (0.62, 0.22, 0.16)  # how often sessions ask for each of `request_classes`
-BUSY_DRIVER_FACTOR = 5.0  # times the mean of all: the rate of a driver that has much to do
-SESSION_RATE = 2.0  # most requests a second of one session, so that its answers' times hardly count
+CLASS_WEIGHTS = (0.62, 0.22, 0.16)  # probability of each of `request_classes` in sessions
+BUSY_DRIVER_FACTOR = 5.0  # rate of a busy driver in multiples of the mean rate
+SESSION_RATE = 2.0  # requests/s of one session, low enough that response times hardly reduce it
 
 
 def request_classes(
     now_us: int, longest_deadline_us: int = SETTINGS["longest-deadline"]
 ) -> tuple[rec.RequestClass, ...]:
-    """Classes of bounded reads, reads of a session's own writes, and writes.
+    """Return the classes of bounded reads, of reads of a session's own writes, and of writes.
 
-    Their latency objectives are wide: a trial's machine has more to do than its size allows, and a rejected
-    request violates no rule. A deadline is DEADLINE_MULTIPLE times the objective.
+    Their latency objectives are wide because the machine of a trial is overloaded, and requests rejected for
+    lack of time violate no rule. A deadline is DEADLINE_MULTIPLE times the objective.
     """
     bounded_read_us, session_read_us, write_us = (
         min(objective_us, longest_deadline_us // DEADLINE_MULTIPLE) for objective_us in LATENCY_OBJECTIVES_US
@@ -57,12 +57,12 @@
 
 
 def limits(now_us: int, shape: EndpointSettings) -> rec.Limits:
-    """The limits that the rules are judged by, for members of this shape."""
+    """The limits that the rules are checked against, for members with these settings."""
     return shape.limits(now_us, DRAIN_GRACE_US, MAX_ATTEMPTS)
 
 
 def driver_names(script: Script) -> tuple[str, ...]:
-    """Names of all drivers of a trial, in order of their numbers."""
+    """Names of all drivers of a trial, ordered by number."""
     return tuple(f"n{i}" for i in range(script["edges"]))
 
 
@@ -72,9 +72,9 @@
 
 
 def targeted_drivers(script: Script, step: Step) -> list[str]:
-    """The drivers that a step's target names: the same ones in every process of a trial.
+    """The drivers that the target of a step selects, which are the same in every process of a trial.
 
-    Raises UnknownTargetError for a target that names none.
+    Raises UnknownTargetError if the target is not a driver selector.
     """
     names = driver_names(script)
     selector = step.target.removeprefix("edge/")
@@ -94,15 +94,15 @@
 
 
 def is_busy_driver(index: int, fraction: float) -> bool:
-    """Whether this driver is among the `fraction` that have much to do, spread evenly over the numbers."""
+    """Whether this driver is among the `fraction` of busy drivers, spread evenly over the numbers."""
     return int((index + 1) * fraction) > int(index * fraction)
 
 
 def driver_rate(script: Script, index: int) -> float:
-    """Requests a second for each group from the driver with this number.
+    """Requests per second that the driver with this number sends to each group.
 
-    The script's rate is that of all drivers of the trial. Of a hundred drivers, `heavy` have
-    BUSY_DRIVER_FACTOR times the mean, and the others what is left of the rate.
+    The script's `rate` is the total of all drivers of the trial, and `heavy` the percentage of busy drivers,
+    which have BUSY_DRIVER_FACTOR times the mean rate. The others share the remaining rate.
     """
     busy = script["heavy"] / 100
     quiet_factor = (1 - BUSY_DRIVER_FACTOR * busy) / (1 - busy) if busy < 1 / BUSY_DRIVER_FACTOR else 1.0
--- a/juniperreel/testbed/shrink.py
+++ b/juniperreel/testbed/shrink.py
@@ -1,6 +1,6 @@
-"""Makes a failing script smaller: fewer faults, a shorter day, fewer drivers, members and sessions.
+"""Shrinks a failing script: fewer faults, a shorter duration, fewer drivers, members and sessions.
 
-The script must go on failing. Free of I/O: the caller plays the scripts.
+The script must keep failing. Performs no I/O: the caller runs the scripts.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from juniperreel.fakes.script import Script, Step
 from juniperreel.net.clock import US
 
-QUIET_TAIL_US = 2_000_000  # of a day behind its last fault
+QUIET_TAIL_US = 2_000_000  # time without faults at the end of a script
 MINIMUM_SETTINGS = {"edges": 2, "members": 2, "groups": 1, "sessions": 2, "rate": 10}
-RESTARTING_FAULTS = ("kill", "edge-kill", "roll")  # their value is a time after which something comes back
+RESTARTING_FAULTS = ("kill", "edge-kill", "roll")  # their value is the delay until the restart
 Fails = Callable[[Script], Awaitable[bool]]
 
 
 def end_us(step: Step) -> int:
-    """Time of day at which a fault's effect is over, restarts included."""
+    """Script time at which the effect of a fault is over, restarts included."""
     restart_us = int(step.value) if step.fault in RESTARTING_FAULTS else 0
     return step.at_us + max(step.for_us, restart_us)
 
 
 def has_all_targets(script: Script) -> bool:
-    """Whether every driver, group and member that a fault names by number is part of the day."""
+    """Whether every driver, group and member that a fault names by number exists in the script."""
     return all(_is_target(script, step.target) and _is_target(script, step.other) for step in script.steps)
 
 
@@ -40,7 +40,7 @@
 
 
 def candidates(script: Script) -> Iterator[Script]:
-    """Yield smaller days, those that take most away first."""
+    """Yield smaller scripts, the largest reductions first."""
     steps = script.steps
     if len(steps) > 2:
         half = len(steps) // 2
@@ -59,7 +59,7 @@
 
 
 def _shorter_duration_us(script: Script) -> int:
-    """The length to try next; the day's own where it cannot be shorter."""
+    """The next duration to try; the script's own if it cannot be shorter."""
     if script.steps:
         return max(end_us(step) for step in script.steps) + QUIET_TAIL_US
     if script["last"] > 2 * QUIET_TAIL_US:
@@ -74,9 +74,9 @@
 async def shrink(
     script: Script, fails: Fails, max_runs: int, report: Callable[[str], None] = lambda _: None
 ) -> Script:
-    """Return the smallest day found that still fails, after `plays` plays at most.
+    """Return the smallest script found that still fails, after `max_runs` runs at most.
 
-    `fails` plays a day and tells whether it fails; `report` is given a line of progress for each smaller day.
+    `fails` runs a script and returns whether it fails; `report` receives a line for each smaller script.
     """
     while True:
         for candidate in candidates(script):
--- a/juniperreel/testbed/single_process_trial.py
+++ b/juniperreel/testbed/single_process_trial.py
@@ -1,8 +1,8 @@
-"""A trial played by this process alone: members, discovery and sessions around a few drivers.
+"""A trial of a few drivers whose members, discovery and sessions run in this process.
 
-Each driver is a process by the program's own command, and reaches every member and its discovery by a relay
-of its own. What passes is recorded for the checkers in `verification`. `multi_process_trial.py` is the form
-for hundreds of drivers.
+Each driver is a process started by the program's own command, and reaches every member and its discovery
+through its own relay. Requests and responses are recorded for the checkers in `verification`.
+`multi_process_trial.py` runs trials of hundreds of drivers.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class SingleProcessTrial:
-    """One trial. `recorder.records` is what it leaves."""
+    """One trial, whose result is `recorder.records`."""
 
     session_class = PlatformSession
 
@@ -49,10 +49,10 @@
         weights: Sequence[float] = CLASS_WEIGHTS,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        """`directory` keeps settings and logs; `pause_s` is a session's mean pause between its requests.
+        """`directory` receives settings and logs; `pause_s` is a session's mean pause between requests.
 
-        `program`: what a driver is started by, with `environment` beside its own variables; `weights`: how
-        often sessions ask for each class.
+        `program` is the command that starts a driver, with `environment` in addition to its own variables.
+        `weights` are the probabilities of the request classes in sessions.
         """
         self.script = script
         self.clock = Clock()
@@ -81,25 +81,25 @@
 
     @property
     def processes(self) -> Processes:
-        """The drivers' processes, by their names."""
+        """The driver processes by name."""
         return self._drivers.processes
 
     def events(self, process: ManagedProcess) -> Iterator[dict[str, Any]]:
-        """Yield the events that a driver has logged since the last call."""
+        """Yield the events that a driver has logged since the previous call."""
         return self._drivers.events(process)
 
     @property
     def probes(self) -> int:
-        """Health and position checks that members have answered."""
+        """Number of health and position checks that members have answered."""
         return 0 if self._member_links is None else self._member_links.probes
 
     @property
     def connections_opened(self) -> int:
-        """Connections that drivers have ever opened to members."""
+        """Total number of connections that drivers have opened to members."""
         return 0 if self._member_links is None else self._member_links.connections_opened
 
     async def run(self) -> None:
-        """Play the day; the drivers have ended afterwards."""
+        """Run the script; all drivers have exited on return."""
         classes = request_classes(self.clock.now_us(), self.script["longest-deadline"])
         self._record_rules(classes)
         async with trio.open_nursery() as nursery:
@@ -120,7 +120,7 @@
         self.recorder(limits(classes[0].at, self.fleet.settings))
 
     async def _run_script(self, classes: Sequence[rec.RequestClass]) -> None:
-        """Play faults and sessions until the day's end and the sessions' last answers."""
+        """Run faults and sessions until the end of the script and the last answers of the sessions."""
         until_us = self.clock.now_us() + self.script["last"]
         async with trio.open_nursery() as faults:
             faults.start_soon(self.fleet.play, self._run_driver_fault)
@@ -135,7 +135,7 @@
         return self._drivers.session(f"s{index}", index, group, classes, self._weights, self.session_class)
 
     async def _run_driver_fault(self, step: Step) -> None:
-        """Play a fault of drivers or of any of their links, to its end."""
+        """Run a fault of drivers or of any of their links until it is over."""
         if step.fault.startswith("link-") and step.other != DISCOVERY:
             assert self._member_links is not None
             await self._member_links.run_fault(step, targeted_drivers(self.script, step))
--- a/juniperreel/testbed/soak/__init__.py
+++ b/juniperreel/testbed/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the platform's drivers as processes: overlapping faults, judged by the rules."""
+"""Randomized soak test of the platform's drivers: overlapping faults, checked against the five rules."""
--- a/juniperreel/testbed/soak/__main__.py
+++ b/juniperreel/testbed/soak/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m juniperreel.testbed.soak --seeds 1-20`: plays soaks and says what they showed.
+"""`python -m juniperreel.testbed.soak --seeds 1-20`: runs soaks and prints their reports.
 
-A single seed plays one again. Logs and settings of a soak that did not pass are kept in its directory.
+A single seed repeats one soak. Logs and settings of a soak that did not pass are kept in its directory.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     parser.add_argument("--seeds", default="1", help="one seed, or the first and the last: 1-20")
     parser.add_argument("--drivers", type=int, default=12)
     parser.add_argument("--seconds", type=float, default=15.0)
-    parser.add_argument("--directory", type=Path, default=None, help="keeps what soaks leave")
+    parser.add_argument("--directory", type=Path, default=None, help="keeps files of failed soaks")
     kinds = [kind.value for kind in FaultKind]
     parser.add_argument(
         "--without", nargs="*", choices=kinds, default=[], help="kinds of faults to leave out"
     )
-    parser.add_argument("--counts", action="store_true", help="show how often each fault happened")
+    parser.add_argument("--counts", action="store_true", help="show how often each fault occurred")
     return parser.parse_args()
 
 
@@ -54,7 +54,7 @@
 
 
 def main() -> int:
-    """Play all seeds; return 1 where one did not pass."""
+    """Run all seeds; return 1 if any did not pass."""
     arguments = _parse_arguments()
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
--- a/juniperreel/testbed/soak/clients.py
+++ b/juniperreel/testbed/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: patient sessions that judge what they get, and clients that misbehave."""
+"""Clients of a soak: sessions that wait for every answer and check it, and misbehaving clients."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from juniperreel.testbed.soak.timeliness import AwaitedAnswer
 from juniperreel.verification import records as rec
 
-CLOSE_TIMEOUT_S = 3.5  # the 3 s that the operators owe a client that stops, and what a busy machine takes
-MEAN_CLIENT_INTERVAL_S = 0.12  # mean, between two misbehaving clients of one task
+CLOSE_TIMEOUT_S = 3.5  # the driver closes a stalled client within 3 s; the rest allows for a loaded machine
+MEAN_CLIENT_INTERVAL_S = 0.12  # between two misbehaving clients of one task
 MAX_PIPELINED = 90
-WITHHELD_BYTES = 3  # of a request, that its slow writer holds back to the end
+WITHHELD_BYTES = 3  # last bytes of a slowly written request, sent by `_exchange`
 
 
 class SoakSession(PlatformSession):
-    """A session that waits as long as an answer is owed."""
+    """A session that waits for as long as the driver may take to answer."""
 
     observations: ClientObservations
     was_killed: WasKilled
@@ -61,7 +61,7 @@
         return super()._record_reply(request_id, reply)
 
     def _on_connection_ended(self, request_id: str) -> None:
-        """Note a request that met the end of its connection, unless its driver was killed."""
+        """Record a request whose connection was closed before its answer, unless its driver was killed."""
         if self._protocol.response_started or self.was_killed(self._edge, self.sent_us):
             super()._on_connection_ended(request_id)
             return
@@ -69,10 +69,10 @@
 
 
 class MisbehavingClients:
-    """Tasks that play misbehaving clients until cancelled. Every kind is counted when it was played whole."""
+    """Runs misbehaving clients until cancelled. Each kind is counted when a client has completed it."""
 
     def __init__(self, requests: SoakRequests, find_driver: FindDriver, seed: int) -> None:
-        """`find_driver` names a driver that takes clients."""
+        """`find_driver` returns a driver that accepts clients."""
         self._requests = requests
         self._observations = requests.observations
         self._find_driver = find_driver
@@ -90,7 +90,7 @@
         )
 
     async def run(self) -> None:
-        """Play one misbehaving client after another, side by side where they take long."""
+        """Start one misbehaving client after another; clients that take long overlap."""
         async with trio.open_nursery() as nursery:
             while True:
                 for kind in self._rng.sample(self._kinds, len(self._kinds)):
@@ -112,7 +112,7 @@
             ):
                 await kind(stream, driver.name)  # type: ignore[misc]
 
-    # Clients that stop and stay.
+    # Clients that stop sending and stay connected.
 
     async def _stop_during_startup(self, stream: trio.SocketStream, driver: str) -> None:
         await stream.send_all(STARTUP_MESSAGE[: self._rng.randrange(1, len(STARTUP_MESSAGE))])
@@ -133,12 +133,10 @@
                 self._observations.counts[kind] += 1
             return
         if not self._was_killed(driver, stopped_us):
-            self._observations.violations.append(
-                f"a client that {kind} at {driver} was neither told nor closed"
-            )
+            self._observations.violations.append(f"a client that {kind} at {driver} was not disconnected")
 
     async def _stay_idle(self, stream: trio.SocketStream, driver: str) -> None:
-        """Ask once, and rest until the driver ends the connection."""
+        """Send one request, then idle until the driver closes the connection."""
         if not await self._exchange(stream, driver, [(self._requests.session_read, self._requests.new_id())]):
             return
         self._observations.counts["rests"] += 1
@@ -146,7 +144,7 @@
             pass
         self._observations.counts["rests until the driver ends it"] += 1
 
-    # Clients that leave.
+    # Clients that disconnect with open requests.
 
     async def _disconnect_early(self, stream: trio.SocketStream, _driver: str) -> None:
         request_class = self._rng.choice((self._requests.bounded_read, self._requests.write))
@@ -170,7 +168,7 @@
         stream.socket.close()
         self._observations.counts["sent much and left"] += 1
 
-    # Clients that ask in unusual ways, and are owed their answers.
+    # Clients that send requests in unusual ways and must get their answers.
 
     async def _pipeline(self, stream: trio.SocketStream, driver: str) -> None:
         count = self._rng.randrange(5, MAX_PIPELINED)
@@ -199,9 +197,9 @@
         asked: Sequence[tuple[rec.RequestClass, str]],
         partly_sent: bool = False,
     ) -> bool:
-        """Ask side by side and judge the answers; return whether all came.
+        """Send pipelined requests and check the answers; return whether all arrived.
 
-        `sent_ahead`: the startup and all of the one request but its last bytes were sent before.
+        `partly_sent`: the startup message and one request but for its last WITHHELD_BYTES were sent before.
         """
         queries = b"".join(
             self._requests.query(request_class, request_id) for request_class, request_id in asked
@@ -220,7 +218,7 @@
                     received += data
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 ended = True
-        answers = received.split(messages.READY)[1:-1]  # without the one to the startup
+        answers = received.split(messages.READY)[1:-1]  # without the response to the startup message
         for (request_class, request_id), answer in zip(asked, answers, strict=False):
             self._requests.check_answer(driver, request_class, request_id, answer)
         for _, request_id in asked[len(answers) :]:
--- a/juniperreel/testbed/soak/idle_clients.py
+++ b/juniperreel/testbed/soak/crowd.py
@@ -1,4 +1,4 @@
-"""A crowd: idle clients that take all descriptors a driver has for clients, and come back when ended."""
+"""Idle clients that exhaust a driver's descriptors for clients, and reconnect when disconnected."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from juniperreel.testbed.soak.reconnecting import use_connections
 from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, ClientObservations, FindDriver
 
-RECONNECT_DELAY_S = 3.0  # all of them connect in one process, which must not be late for the others
+RECONNECT_DELAY_S = 3.0  # long, as all of them connect from one process, whose event loop must not lag
 EMPTY_QUERY = messages.query(b"")
 
 
 class IdleClient:
-    """One idle client: sends an empty query, so that it counts as one that asked, and rests until its end."""
+    """An idle client: sends an empty query, so that it counts as used, then idles until disconnected."""
 
     def __init__(self, observations: ClientObservations, find_driver: FindDriver) -> None:
-        """`find_driver` names a driver that takes clients."""
+        """`find_driver` returns a driver that accepts clients."""
         self._observations = observations
         self._find_driver = find_driver
 
     async def run(self) -> None:
-        """Rest at one driver after another until cancelled."""
+        """Idle at one driver after another until cancelled."""
         await use_connections(self._find_driver, self._stay_idle, RECONNECT_DELAY_S)
 
     async def _stay_idle(self, stream: trio.SocketStream, _driver: str) -> None:
--- a/juniperreel/testbed/soak/loop_lag.py
+++ b/juniperreel/testbed/soak/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the soak's own event loop is, which dates what its clients see too late."""
+"""Measures the lag of the soak's own event loop, which makes its clients observe events late."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 LAG_INTERVAL_S = 0.02
 LAG_MEMORY_US = 5_000_000
-# A request is sent in one turn of the loop, its answer or its connection's end noticed and read in two.
+# One iteration sends a request; two more notice and read its answer or the close of its connection.
 LOOP_ITERATIONS_PER_ANSWER = 3
 
 
 class LagSample(NamedTuple):
-    """How late the event loop was at a time."""
+    """The lag of the event loop at a time."""
 
     at_us: int
     late_us: int
 
 
 class LoopLag:
-    """Measures how late this process's own event loop is, which dates what clients see too late."""
+    """Measures the lag of this process's event loop, by which clients observe events late."""
 
     def __init__(self, clock: Clock) -> None:
-        """Measure nothing yet; `run` must be running."""
+        """Samples are taken only while `run` is running."""
         self._clock = clock
         self.max_us = 0  # of all samples
         self._samples: deque[LagSample] = deque()
@@ -45,11 +45,11 @@
                 self._samples.popleft()
 
     def max_since_us(self, since_us: int) -> int:
-        """Return the longest time by which it was late since then, or is late now."""
+        """Return the maximum lag since then, including the current lag."""
         current_lag_us = self._clock.now_us() - self._due_us
         samples_us = (sample.late_us for sample in self._samples if sample.at_us >= since_us)
         return max(0, current_lag_us, *samples_us)  # the next sample may not be due yet
 
     def tolerance_us(self, since_us: int) -> int:
-        """Return by how much what a client saw since then may be dated too late."""
+        """Return by how much the times of client observations since then may be late."""
         return LOOP_ITERATIONS_PER_ANSWER * self.max_since_us(since_us)
--- a/juniperreel/testbed/soak/oracle.py
+++ b/juniperreel/testbed/soak/oracle.py
@@ -1,4 +1,4 @@
-"""Judges one soak: the five rules by what passed, what clients saw, and what drivers say of themselves."""
+"""Checks one soak: the five rules on its records, client observations, and the logs of the drivers."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from juniperreel.verification.history import CROSS_SOCKET_TOLERANCE_US, History
 from juniperreel.verification.rules import RULES
 
-FINAL_ANSWER_RULE = 1  # numbers of rules
+FINAL_ANSWER_RULE = 1  # rule numbers
 STALE_READ_RULE = 5
-# An attempt that begins so long after its client has closed is a lost request.
+# A driver that begins an attempt this long after its client disconnected missed the disconnect.
 ATTEMPT_AFTER_DISCONNECT_US = 100_000
-# How late the soak's own loop was at the worst: its clients see answers as late that came in time.
+# Reported because lag of the soak's own event loop makes timely answers look late to its clients.
 MAX_LOOP_LAG = "longest lag of the soak's own loop, in microseconds"
-# Log lines that a driver writes of its own faults.
+# Log events by which a driver reports its own errors.
 FAULT_EVENTS = (
     "rule violated",
     "connection raised",
@@ -37,7 +37,7 @@
     "open request overdue",
 )
 
-# What drivers count or log that shows a fault from outside to have reached them. Each has to be there.
+# Log events and counters that show that the faults reached the drivers. Each must occur at least once.
 READ_EVENTS = ("request taken", "request rejected at once")
 EVIDENCE_IN_LOGS = (
     "graceful shutdown started",
@@ -75,16 +75,16 @@
 
 @dataclass(slots=True)
 class SoakReport:
-    """What one soak showed. It proves something only where `missing` is empty."""
+    """The result of one soak, which is conclusive only if `missing` is empty."""
 
     seed: int
     violations: list[str] = field(default_factory=list)
-    missing: list[str] = field(default_factory=list)  # faults that did not happen
+    missing: list[str] = field(default_factory=list)  # expected evidence that did not occur
     counts: Counter[str] = field(default_factory=Counter)
 
     @property
     def passed(self) -> bool:
-        """No rule was violated, and every fault happened."""
+        """Whether no violation was found and all expected evidence occurred."""
         return not self.violations and not self.missing
 
 
@@ -101,10 +101,11 @@
     has_crowd: bool = False,
     max_loop_lag_us: int = 0,
 ) -> SoakReport:
-    """Put together the report of one soak. `crashed`: drivers that ended though nobody told them to.
+    """Check one soak and return its report.
 
-    `clock_offset_us`: how far the clock of `notes` is ahead of the monotonic one. `waits`: of drivers, for a
-    processor. `longest_lag_us`: how late the soak's own loop was at the worst.
+    `crashed` lists drivers that exited on their own. `clock_offset_us` is how far the clock of `observations`
+    is ahead of the monotonic clock. `waits` are run queue waits of drivers. `max_loop_lag_us` is the maximum
+    lag of the soak's event loop.
     """
     report = SoakReport(seed)
     lines = [line for path in logs for line in _log_lines(path)]
@@ -115,7 +116,7 @@
     report.violations += late_answers(observations.awaited, delays)
     report.violations += observations.violations
     report.violations += [json.dumps(line)[:600] for line in lines if line["event"] in FAULT_EVENTS]
-    report.violations += [f"{name} ended by itself" for name in crashed]
+    report.violations += [f"{name} exited on its own" for name in crashed]
     report.violations += [
         f"{exit.driver} ended with status {exit.status} {exit.details}" for exit in exits if exit.status
     ]
@@ -132,28 +133,28 @@
 
 
 def _rule_violations(records: Sequence[rec.Record], observations: ClientObservations) -> Iterator[str]:
-    """The five rules. Requests of clients that left are owed no answer, and crossed ones are judged apart."""
-    asked = {record.request_id for record in records if isinstance(record, rec.RequestSent)}
+    """Check the five rules. Requests unanswered at close, or whose client left, are checked separately."""
+    sent_ids = {record.request_id for record in records if isinstance(record, rec.RequestSent)}
     for number, rule in RULES.items():
-        seen = records
+        checked = records
         if number == FINAL_ANSWER_RULE:
-            owed = {None, *(asked - set(observations.unanswered_at_close))}
+            owed_ids = {None, *(sent_ids - set(observations.unanswered_at_close))}
             tolerances = {
                 answer.request_id: answer.tolerance_us for answer in observations.awaited if answer.answered
             }
-            seen = [
+            checked = [
                 _with_tolerance(record, tolerances)
                 for record in records
-                if getattr(record, "request_id", None) in owed
+                if getattr(record, "request_id", None) in owed_ids
             ]
         elif number == STALE_READ_RULE:
-            seen = [r for r in records if getattr(r, "request_id", None) not in observations.sessionless]
-        for violation in rule.check(History.of(seen)):
+            checked = [r for r in records if getattr(r, "request_id", None) not in observations.sessionless]
+        for violation in rule.check(History.of(checked)):
             yield f"rule {number}: {violation.text} at {violation.record.at}"
 
 
 def _with_tolerance(record: rec.Record, tolerances: Mapping[str, int]) -> rec.Record:
-    """Move the deadline of a request by how late its client itself may have been to read the answer."""
+    """Extend the deadline of a request by how late its client itself may have read the answer."""
     if not isinstance(record, rec.RequestSent) or record.request_id not in tolerances:
         return record
     return msgspec.structs.replace(record, deadline=record.deadline + tolerances[record.request_id])
@@ -173,12 +174,12 @@
 def _accepted_but_unanswered(
     records: Iterable[rec.Record], observations: ClientObservations, lines: Iterable[dict[str, Any]]
 ) -> Iterator[str]:
-    """Requests whose connection ended unanswered although the driver had read them."""
-    sent = {record.request_id for record in records if isinstance(record, rec.AttemptReceived)}
-    taken = {line["request"] for line in lines if line["event"] in READ_EVENTS}
+    """Describe requests that a driver had read when it closed their connection without an answer."""
+    sent_ids = {record.request_id for record in records if isinstance(record, rec.AttemptReceived)}
+    accepted_ids = {line["request"] for line in lines if line["event"] in READ_EVENTS}
     for request_id, driver in observations.unanswered_at_close.items():
-        if request_id in sent or request_id in taken:
-            yield f"{request_id} was taken by {driver} and its connection ended without an answer"
+        if request_id in sent_ids or request_id in accepted_ids:
+            yield f"{driver} accepted {request_id} and closed its connection without an answer"
 
 
 def _count(
--- a/juniperreel/testbed/soak/persistent_clients.py
+++ b/juniperreel/testbed/soak/persistent_clients.py
@@ -1,7 +1,7 @@
-"""Clients of a soak that send on an open connection until the driver ends it, without waiting for answers.
+"""Soak clients that keep sending on an open connection until the driver closes it, without awaiting answers.
 
-Of the requests that then have no answer only those may be excused that crossed the end of their connection:
-what was written well before the end was accepted.
+An unanswered request is excused only if it was sent at about the time of the close: a request that was sent
+well before the close must have been accepted.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, FindDriver, SoakRequests
 from juniperreel.verification import records as rec
 
-PAUSE_S = 0.06  # mean, between two sends of one client
+PAUSE_S = 0.06  # mean, between two bursts of one client
 MAX_UNANSWERED = 40
-MAX_BURST = 5  # requests that are sent at once
+MAX_BURST = 5  # requests sent back to back
 RECONNECT_DELAY_S = 0.1
-# Between a driver's last look at a connection and its end; where drivers are held up, that comes on top.
+# From a driver's last read of a connection to its close, without injected hold-ups.
 CLOSE_RACE_US = 50_000
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request whose last byte was written at `at_us`."""
+    """A request and the time at which its transmission began."""
 
     request_class: rec.RequestClass
     request_id: str
@@ -37,12 +37,12 @@
 
 
 class PersistentClient:
-    """One client: connects, sends until its connection ends, and connects again."""
+    """A client that sends until its connection is closed, and then reconnects."""
 
     def __init__(
         self, requests: SoakRequests, find_driver: FindDriver, lag: LoopLag, hold_up_us: int, seed: int
     ) -> None:
-        """`find_driver` names a driver that takes clients; drivers are held up for `hold_up_us` at most."""
+        """`find_driver` returns a driver that accepts clients; hold-ups last `hold_up_us` at most."""
         self._requests = requests
         self._find_driver = find_driver
         self._lag = lag
@@ -61,7 +61,7 @@
 
 
 class _Connection:
-    """The requests of one connection, in the order in which they were sent."""
+    """One connection and its unanswered requests, in the order in which they were sent."""
 
     def __init__(
         self, requests: SoakRequests, driver: str, stream: trio.SocketStream, rng: random.Random
@@ -76,7 +76,7 @@
         self._is_started = False
 
     async def run(self) -> None:
-        """Send and read until the connection ends."""
+        """Send and read until the connection is closed."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send)
             await self._read()
@@ -91,7 +91,7 @@
                         await self._send_request()
                 await trio.sleep(self._rng.expovariate(1 / PAUSE_S))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            return  # the reader sees the end
+            return  # `_read` detects the close
 
     async def _send_request(self) -> None:
         requests = self._requests
@@ -117,16 +117,16 @@
                 self._is_started = True
                 continue
             if not self._unanswered:
-                self._requests.observations.violations.append(f"{self._driver} answered what nobody asked")
+                self._requests.observations.violations.append(f"unrequested answer of {self._driver}")
                 return
             sent = self._unanswered.popleft()
             self._requests.check_answer(self._driver, sent.request_class, sent.request_id, answer)
             self._requests.observations.counts["answers to clients that keep sending"] += 1
 
     def check_close(self, lag: LoopLag, close_race_us: int) -> None:
-        """Judge what has no answer, now that the connection has ended.
+        """Check the unanswered requests after the connection was closed.
 
-        What was sent within `crossing_us` of its end, and of this process's own delay, may have crossed it.
+        Requests sent within `close_race_us`, plus this process's own lag, of the close may be unanswered.
         """
         requests = self._requests
         ended_us = requests.clock.now_us()
@@ -148,6 +148,6 @@
         return None
 
     def _check_closed_before_startup(self) -> None:
-        """Judge requests on a connection that ended before the first answer: without descriptors it may."""
+        """Check requests on a connection closed before its startup response, for lack of descriptors."""
         for sent in self._unanswered:
             self._requests.check_unanswered(self._driver, sent.request_id, True, sent.at_us)
--- a/juniperreel/testbed/soak/plan.py
+++ b/juniperreel/testbed/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of one soak: which faults of members, links and drivers happen when, drawn from its seed."""
+"""The plan of a soak: a random schedule of faults of members, links and drivers, derived from its seed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 FIRST_FAULT_MS = 700
 LAST_FAULT_BEFORE_END_MS = 1_500
 
-# Each is drawn once or more in every plan. Times that a fault lasts are drawn, too.
+# Every plan contains each of these at least once, with random durations.
 MEMBER_FAULTS = (
     "for {short} hang random:25%",
     "for {long} lose g{group}/replica 30%",
@@ -49,7 +49,7 @@
     "for {short} link-cut edge/random:40% to list",
     "for {long} link-slow edge/random:40% to list 400ms",
 )
-# A watch whose discovery is silent is overdue after some seconds only.
+# Scheduled early, since a driver takes seconds to detect a silent watch.
 EARLY_FAULTS = ("link-mute edge/random:50% to list", "link-mute edge/random:60% to list")
 LAST_EARLY_FAULT_BEFORE_END_MS = 5_000
 DRIVER_FAULTS = (
@@ -60,12 +60,12 @@
     "edge-reload edge/random:40%",
     "edge-kill edge/random:10% back 300ms",
 )
-# Replicas apply nothing for so long: what a read may lack, and the checker's slack, is 0.8 s together.
+# How long replicas apply nothing: well above the 0.8 s of staleness bound and checker margin together.
 REPLICA_LAG_MS = (2_000, 3_500)
-REPEATED_FAULTS = 4  # faults that are drawn a second time
+REPEATED_FAULTS = 4  # number of faults that occur a second time
 
 LONG_DEADLINE_MS = 8_000
-SHORT_DEADLINES_MS = (500, 2_200)  # the kill comes soon after SIGTERM then
+SHORT_DEADLINES_MS = (500, 2_200)  # also shortens the time from SIGTERM to SIGKILL
 SHORT_DEADLINES_FRACTION = 0.6  # of all plans
 # More than the descriptors that a driver has for clients in a plan with idle clients.
 IDLE_CLIENTS_PER_DRIVER = 95
@@ -90,7 +90,7 @@
 
 
 def draw_plan(seed: int, drivers: int, duration_ms: int) -> Script:
-    """The same script for the same arguments."""
+    """Return a random plan; the same arguments give the same script."""
     rng = random.Random(f"{seed} {drivers} {duration_ms}")
     has_short_deadlines = rng.random() < SHORT_DEADLINES_FRACTION
     has_crowd = rng.random() < CROWD_FRACTION
--- a/juniperreel/testbed/soak/reconnecting.py
+++ b/juniperreel/testbed/soak/reconnecting.py
@@ -1,4 +1,4 @@
-"""The loop of every client of a soak that uses one connection after another."""
+"""The connection loop shared by the soak clients that use one connection after another."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from juniperreel.testbed.soak.requests import FindDriver
 
-UseConnection = Callable[[trio.SocketStream, str], Awaitable[None]]  # to the driver of this name
+UseConnection = Callable[[trio.SocketStream, str], Awaitable[None]]  # the stream and the driver's name
 
 
 async def use_connections(find_driver: FindDriver, use: UseConnection, pause_s: float) -> None:
-    """Connect to drivers that take clients, and use each connection, until cancelled.
+    """Connect to drivers that accept clients and call `use` on each connection, until cancelled.
 
-    There is a pause after each; `use` may let the end of its connection escape as a trio.BrokenResourceError.
+    Pauses after each connection. `use` may raise trio.BrokenResourceError when its connection breaks.
     """
     while True:
         driver = find_driver()
--- a/juniperreel/testbed/soak/requests.py
+++ b/juniperreel/testbed/soak/requests.py
@@ -1,4 +1,4 @@
-"""The requests of a soak's unusual clients: written, recorded, and their answers judged."""
+"""Requests of the soak's special clients: encodes and records them, and checks their answers."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from juniperreel.testbed.soak.timeliness import AwaitedAnswer
 from juniperreel.verification import records as rec
 
-# Many connections write and read each row: a replica that lags soon lacks writes that a read must show.
-SHARED_ROWS_PER_GROUP = 4  # of a group
-MAX_ANSWER_DELAY_US = 550_000  # an answer up to so late is only worth nothing
+# Few, so that many connections share each row: a lagging replica soon lacks writes that reads require.
+SHARED_ROWS_PER_GROUP = 4
+MAX_ANSWER_DELAY_US = 550_000  # an answer late by up to this has no value, but violates no rule
 STARTUP_MESSAGE = messages.startup("worker", "catalog")
 ANSWER_ROW = re.compile(rb"(?P<member>g\d+-m\d+)\|(?P<ids>[0-9a-f,]*)")
 
 FindDriver = Callable[[], EdgeAddress | None]
-WasKilled = Callable[[str, int], bool]  # whether a driver was killed since a time
+WasKilled = Callable[[str, int], bool]  # (driver, time in us): whether it was killed since then
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """What one connection writes and reads: a row of a group, which it has in common with others."""
+    """The session of one connection: it reads and writes a row of a group, shared with other sessions."""
 
     name: str
     row: str
@@ -37,13 +37,13 @@
 
     @classmethod
     def for_single_request(cls, request_id: str) -> Session:
-        """Return the session of a request that has a row of its own."""
+        """Return the session of a single request with its own row."""
         return cls(request_id, request_id, group=0)
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnect:
-    """A client closed its connection while a request of its was open."""
+    """A client closed its connection while one of its requests was open."""
 
     request_id: str
     at_us: int
@@ -51,10 +51,11 @@
 
 @dataclass(slots=True)
 class ClientObservations:
-    """What clients saw.
+    """What clients observed.
 
-    `crossed`: requests that met the end of their connection unanswered, with their driver. `unusual`: those
-    of no session, each with a row of its own. `conversations`: connections that are not judged yet.
+    `unanswered_at_close`: requests whose connection was closed before an answer, with their driver.
+    `sessionless`: requests without a session, each with its own row. `pending_connections`: number of
+    connections that have not been checked yet.
     """
 
     unanswered_at_close: dict[str, str] = field(default_factory=dict)
@@ -67,7 +68,7 @@
 
     @contextmanager
     def track_connection(self) -> Iterator[None]:
-        """A connection whose requests are judged when the block ends."""
+        """Count a connection as pending; its requests have been checked when the block exits."""
         self.pending_connections += 1
         try:
             yield
@@ -76,7 +77,7 @@
 
 
 class SoakRequests:
-    """Makes requests of three classes, records them, and judges what comes back."""
+    """Creates requests of three classes, records them, and checks their answers."""
 
     def __init__(
         self,
@@ -90,7 +91,7 @@
         lag: LoopLag,
         rng: random.Random,
     ) -> None:
-        """`was_killed` excuses a driver; `deadline_ms` is what each request tells it."""
+        """`was_killed` excuses missing answers of a driver; each request is sent with `deadline_ms`."""
         self.observations = observations
         self.was_killed = was_killed
         self.bounded_read, self.session_read, self.write = classes
@@ -98,16 +99,16 @@
         self.deadline_ms = deadline_ms
         self._groups = groups
         self._lag = lag
-        self._sent_us: dict[str, int] = {}  # of requests that were recorded and have no answer yet
+        self._sent_us: dict[str, int] = {}  # of recorded requests without an answer
         self._record = record
         self._rng = rng
 
     def new_id(self) -> str:
-        """Draw the id of a request."""
+        """Generate a random request id."""
         return f"{self._rng.getrandbits(64):016x}"
 
     def new_session(self) -> Session:
-        """Draw a session; it belongs to one connection."""
+        """Create a session on a random shared row, for one connection."""
         group = self._rng.randrange(self._groups)
         row = f"shared{group}.{self._rng.randrange(SHARED_ROWS_PER_GROUP)}"
         return Session(self.new_id(), row, group)
@@ -119,7 +120,7 @@
         session: Session | None = None,
         deadline_ms: int | None = None,
     ) -> bytes:
-        """Return the message that asks for it; without a session it has a row of its own."""
+        """Return the query message of a request; without a session, the request has its own row."""
         session = session or Session.for_single_request(request_id)
         deadline_ms = self.deadline_ms if deadline_ms is None else deadline_ms
         text = statement(request_class, request_id, session.row, session.group, deadline_ms)
@@ -133,7 +134,7 @@
         request_id: str,
         session: Session | None = None,
     ) -> None:
-        """Record that it is sent now."""
+        """Record that a request is sent at `now_us`."""
         if session is None:
             self.observations.sessionless.add(request_id)
             session = Session.for_single_request(request_id)
@@ -157,7 +158,7 @@
     def check_answer(
         self, driver: str, request_class: rec.RequestClass, request_id: str, answer: bytes
     ) -> None:
-        """Record an answer; one that belongs to another request is a violation."""
+        """Record an answer; an answer that belongs to another request is a violation."""
         served = answer.startswith(b"T")
         now_us = self.clock.now_us()
         sent_us = self._sent_us.pop(request_id)
@@ -167,13 +168,13 @@
         self._record(rec.ResponseReceived(now_us, request_id, 0, status, endpoint=endpoint, rows=ids))
         if served and request_class.write and request_id.encode() not in answer:
             self.observations.violations.append(
-                f"the answer to {request_id} of {driver} is another request's"
+                f"{driver} answered {request_id} with the answer to another request"
             )
 
     def add_awaited_answer(
         self, driver: str, request_id: str, sent_us: int, deadline_ms: int, answered: bool
     ) -> None:
-        """Note that a request was answered now, or that its client gives it up."""
+        """Record that a request was answered now, or that its client gave up."""
         self.observations.awaited.append(
             AwaitedAnswer(
                 request_id,
@@ -186,18 +187,18 @@
         )
 
     def check_unanswered(self, driver: str, request_id: str, ended: bool, sent_us: int) -> None:
-        """Judge a request without an answer, whose connection `ended` or not."""
+        """Check a request without an answer; `ended` tells whether its connection was closed."""
         if self.was_killed(driver, sent_us):
             now_us = self.clock.now_us()
             self._record(rec.ResponseReceived(now_us, request_id, 0, STATUS_UNKNOWN, local=True))
         elif ended:
             self.observations.unanswered_at_close[request_id] = driver
         else:
-            self.observations.violations.append(f"{request_id} had no answer of {driver}, nor an end")
+            self.observations.violations.append(f"{request_id} had neither an answer nor a close of {driver}")
 
 
 def _parse_answer_row(answer: bytes) -> tuple[str, list[str]]:
-    """The member that answered, and the writes that it showed."""
+    """Return the member that answered, and the ids of the writes in its row."""
     found = ANSWER_ROW.search(answer)
     if found is None:
         return "", []
--- a/juniperreel/testbed/soak/run.py
+++ b/juniperreel/testbed/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one soak: drivers as processes with faults of their own, in a fleet with faults, and all clients."""
+"""Runs one soak: driver processes with injected faults, in a fleet with faults, and all clients."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from juniperreel.testbed.scenario import CLASS_WEIGHTS
 from juniperreel.testbed.single_process_trial import SingleProcessTrial
 from juniperreel.testbed.soak.clients import MisbehavingClients, SoakSession
-from juniperreel.testbed.soak.idle_clients import IdleClient
+from juniperreel.testbed.soak.crowd import IdleClient
 from juniperreel.testbed.soak.loop_lag import LoopLag
 from juniperreel.testbed.soak.oracle import SoakReport, check_soak
 from juniperreel.testbed.soak.persistent_clients import PersistentClient
@@ -35,13 +35,13 @@
 MISBEHAVING_TASKS = 3
 PERSISTENT_CLIENTS_PER_DRIVER = 1
 SHORT_DEADLINE_CLIENTS_PER_DRIVER = 1
-MAX_DEADLINE_MS = 4_000  # of unusual clients' requests
-CLOSE_CHECK_TIMEOUT_S = 5.0  # for clients to judge the ends of their connections
+MAX_DEADLINE_MS = 4_000  # of requests of clients other than sessions
+CLOSE_CHECK_TIMEOUT_S = 5.0  # for clients to check their requests after the drivers have exited
 CLOSE_CHECK_POLL_S = 0.02
 
 
 class SoakTrial(SingleProcessTrial):
-    """A trial with misbehaving clients, whose drivers are shut down in order at its end."""
+    """A trial with additional and misbehaving clients, whose drivers are shut down gracefully at the end."""
 
     session_class = SoakSession
 
@@ -53,7 +53,7 @@
         rates: Mapping[FaultKind, float],
         program: Sequence[str] = FAULTY_DRIVER_PROGRAM,
     ) -> None:
-        """`directory` keeps settings, logs and counts."""
+        """`directory` receives settings, logs and counts."""
         self.observations = ClientObservations()
         self.crashed: list[str] = []
         self._directory = directory
@@ -70,7 +70,7 @@
         self._run_queue = RunQueueRecorder(self.processes.by_name)
 
     def report(self) -> SoakReport:
-        """Judge what was played."""
+        """Check the results of the run."""
         logs = [process.log for process in self.processes.by_name.values()]
         return check_soak(
             self.script["seed"],
@@ -152,7 +152,7 @@
         return EdgeAddress(name, self._drivers.ports[name])
 
     def _was_killed(self, driver: str, since_us: int) -> bool:
-        """Whether the driver was killed since then, so that what it had open is excused."""
+        """Whether the driver was killed since then, which excuses its open requests."""
         return any(killed_us >= since_us for killed_us in self._drivers.killed_us[driver])
 
     def _record_crashes(self) -> None:
@@ -170,7 +170,7 @@
     rates: Mapping[FaultKind, float] = FAULT_RATES,
     program: Sequence[str] = FAULTY_DRIVER_PROGRAM,
 ) -> SoakReport:
-    """Play the soak of a seed in an empty directory, and judge it."""
+    """Run the soak of a seed in an empty directory, and check it."""
     trial = SoakTrial(draw_plan(seed, drivers, duration_ms), network, directory, rates, program)
     await trial.run()
     return trial.report()
--- a/juniperreel/testbed/soak/short_deadline_clients.py
+++ b/juniperreel/testbed/soak/short_deadline_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak that use an open connection with little time, and leave shortly after their time."""
+"""Soak clients that reuse a connection with short deadlines, and disconnect soon after a missed one."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 RECONNECT_DELAY_S = 0.1
 DEADLINES_MS = (150, 700)
 STARTUP_TIMEOUT_S = 3.0
-PIPELINED_STARTUP_FRACTION = 0.1  # of the requests, that come with their connection's first bytes
+PIPELINED_STARTUP_FRACTION = 0.1  # of connections, whose first request follows the startup at once
 
 
 class ShortDeadlineClient:
-    """One client, that asks again and again until cancelled."""
+    """A client that sends one request after another until cancelled."""
 
     def __init__(self, requests: SoakRequests, find_driver: FindDriver, seed: int) -> None:
-        """`find_driver` names a driver that takes clients."""
+        """`find_driver` returns a driver that accepts clients."""
         self._requests = requests
         self._find_driver = find_driver
         self._rng = random.Random(seed)
@@ -53,10 +53,10 @@
         self._stream = stream
         self._rng = rng
         self._received = b""
-        self._open_request: tuple[str, int] | None = None  # its id, and when it was sent
+        self._open_request: tuple[str, int] | None = None  # its id and the time at which it was sent
 
     async def run(self) -> None:
-        """Ask until the driver ends the connection, or no answer comes in time."""
+        """Send requests until the driver closes the connection or an answer does not arrive in time."""
         startup_prefix = STARTUP_MESSAGE
         if self._rng.random() > PIPELINED_STARTUP_FRACTION:
             await self._stream.send_all(STARTUP_MESSAGE)
@@ -71,7 +71,7 @@
             await trio.sleep(self._rng.expovariate(1 / PAUSE_S))
 
     async def _exchange(self, startup_prefix: bytes) -> bool:
-        """Ask once, with `greeting` before it; return whether the connection can be used again."""
+        """Send one request, preceded by `startup_prefix`; return whether the connection is reusable."""
         requests = self._requests
         request_class = self._rng.choice((requests.bounded_read, requests.write))
         request_id = requests.new_id()
@@ -98,7 +98,7 @@
         return True
 
     async def _read_until_ready(self, count: int) -> bool:
-        """Read until the driver is ready for the next command so often; False where the connection ends."""
+        """Read until `count` ready messages have arrived; return False if the connection is closed first."""
         while self._received.count(messages.READY) < count:
             data = bytes(await self._stream.receive_some(READ_BYTES))
             if not data:
@@ -107,7 +107,7 @@
         return True
 
     def check_close(self) -> None:
-        """Note a request whose connection ended before its answer, unless its driver was killed."""
+        """Record a request whose connection was closed before its answer, unless its driver was killed."""
         if self._open_request is None:
             return
         request_id, sent_us = self._open_request
--- a/juniperreel/testbed/trial_process.py
+++ b/juniperreel/testbed/trial_process.py
@@ -1,4 +1,4 @@
-"""What the processes of one trial have in common: arguments, orders, the day's times, counts."""
+"""Common base of the processes of a trial: arguments, control messages, script timing, counters."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from juniperreel.testbed.scenario import DISCOVERY
 from juniperreel.verification.records import Recorder
 
-# Roles of processes.
+# Process roles, as given on the command line.
 MEMBERS = "members"
 DRIVERS = "drivers"
 POLL_S = 0.02
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessArguments:
-    """The command line: `part` of `parts` processes with this role; `program` starts a driver."""
+    """The command line: process `part` of `parts` with this role; `program` is the driver's command."""
 
     script_path: Path
     role: str
@@ -50,7 +50,7 @@
 
     @staticmethod
     def parse(arguments: list[str]) -> ProcessArguments:
-        """Raises ValueError where arguments are missing or no numbers."""
+        """Parse the command line. Raises ValueError if arguments are missing or not numeric."""
         script_path, role, part, parts, port, directory, *program = arguments
         return ProcessArguments(
             Path(script_path), role, int(part), int(parts), int(port), Path(directory), tuple(program)
@@ -58,16 +58,16 @@
 
     @property
     def name(self) -> str:
-        """The process's name in its trial."""
+        """The name of the process within its trial."""
         return f"{self.role}-{self.part}"
 
     def owns(self, number: int) -> bool:
-        """Whether the group or driver of this number is this process's."""
+        """Whether this process runs the group or driver with this number."""
         return number % self.parts == self.part
 
 
 class EventLoopLag:
-    """By how much the event loop was late at most: what a trial's times cannot resolve."""
+    """Measures the maximum lag of the event loop, which bounds the resolution of recorded times."""
 
     def __init__(self) -> None:
         self.max_us = 0
@@ -80,14 +80,14 @@
             self.max_us = max(self.max_us, int((trio.current_time() - due) * US))
 
     def reset(self) -> None:
-        """Forget what was measured so far."""
+        """Discard the measurements so far."""
         self.max_us = 0
 
 
 class TrialProcess:
-    """What processes of both roles do: receive orders, keep the day's times, count.
+    """Base of both roles: receives control messages, follows the script's start and end, keeps counters.
 
-    `rng` is seeded by the script's seed and the process's name.
+    `rng` is seeded with the script's seed and the process name.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self._enqueue_message, self._messages = trio.open_memory_channel[Message](MAX_QUEUED_MESSAGES)
 
     async def receive_messages(self) -> None:
-        """Handle updates of hosts as they come and queue all other messages for `expect`, until cancelled."""
+        """Handle host updates on arrival and queue all other messages for `expect`, until cancelled."""
         while True:
             message = await self.control.receive()
             if isinstance(message, HostUpdate):
@@ -113,33 +113,33 @@
                 await self._enqueue_message.send(message)
 
     async def expect(self, kind: type[ExpectedMessage]) -> ExpectedMessage:
-        """Wait for the next order. Raises UnexpectedMessageError if it is of another kind."""
+        """Wait for the next queued message. Raises UnexpectedMessageError if it is of another type."""
         message = await self._messages.receive()
         if not isinstance(message, kind):
             raise UnexpectedMessageError(message, kind.__name__)
         return message
 
     def on_host_update(self, update: HostUpdate) -> None:
-        """Handle what discovery is to say of a member. Raises UnexpectedMessageError unless overridden."""
-        raise UnexpectedMessageError(update, "an order")
+        """Handle an update of a member for discovery. Raises UnexpectedMessageError unless overridden."""
+        raise UnexpectedMessageError(update, "a message other than a host update")
 
-    async def run_script(self, play: Callable[[StartDay], Awaitable[None]]) -> None:
-        """Report that all stands, run `play` from the day's beginning, and cancel it at its end."""
+    async def run_script(self, body: Callable[[StartDay], Awaitable[None]]) -> None:
+        """Report readiness, run `body` from the start of the script, and cancel it at the end."""
         await self.control.send(Ready())
         start = await self.expect(StartDay)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._run_from_start, play, start)
+            nursery.start_soon(self._run_from_start, body, start)
             await self.expect(EndDay)
             nursery.cancel_scope.cancel()
 
-    async def _run_from_start(self, play: Callable[[StartDay], Awaitable[None]], start: StartDay) -> None:
+    async def _run_from_start(self, body: Callable[[StartDay], Awaitable[None]], start: StartDay) -> None:
         await trio.sleep_until(self.clock.trio_time(start.at_us))
-        self.lag.reset()  # its lag while all were started says nothing of the day
-        await play(start)
+        self.lag.reset()  # discards the lag of the start-up phase, which is not part of the trial
+        await body(start)
 
 
 def steps_of_role(script: Script, role: str) -> list[Step]:
-    """The faults that processes of this role play; those of configuration instances are nobody's."""
+    """The steps that processes of this role run; no role runs faults of configuration instances."""
     wanted = role == DRIVERS
     return [
         step
@@ -149,11 +149,11 @@
 
 
 def targets_driver_side(step: Step) -> bool:
-    """Whether a step strikes drivers, discovery or the links between them; all others strike members."""
+    """Whether a step affects drivers, discovery or the links between them; all others affect members."""
     return step.fault.startswith("edge-") or DISCOVERY in (step.target, step.other)
 
 
 def processor_time_s() -> float:
-    """Processor time of this process and of those it started that have ended."""
+    """CPU time of this process and of its terminated children."""
     ended = resource.getrusage(resource.RUSAGE_CHILDREN)
     return time.process_time() + ended.ru_utime + ended.ru_stime
--- a/tests/testbed/test_multi_process_trial.py
+++ b/tests/testbed/test_multi_process_trial.py
@@ -1,4 +1,4 @@
-"""Trials whose members, drivers and sessions are played by several processes of the testbed."""
+"""Trials whose members, drivers and sessions run in several processes of the testbed."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_platform_fleet.py
+++ b/tests/testbed/test_platform_fleet.py
@@ -1,5 +1,7 @@
-"""Drivers of the platform, each a process by the program's own command, with faults in processes, links and
-members; the five rules judged from what passed, and bugs planted in the program found by the same judges."""
+"""Driver processes under faults of processes, links and members, checked against the five rules.
+
+Seeded bugs in the program must be found by the same checkers.
+"""
 
 from __future__ import annotations
 
@@ -42,8 +44,8 @@
 at 7s drain g1/primary
 at 8s for 1s link-slow edge/* to all 20ms
 """
-# A draining member turns work away, and who learns of that leaves it by chance before the grace is over: the
-# planted driver learns nothing, so that it goes on for certain, however slow the machine is.
+# A draining member rejects requests, and a driver that reacts to that may avoid it before the drain grace
+# ends. This driver ignores all outcomes, so that it certainly violates the rule, even on a slow machine.
 IGNORES_OUTCOMES = """
 EndpointTracker.may_receive = lambda *_: True
 for part in (OutlierDetector, SlowStart, Selection, LoadShedder):
@@ -108,12 +110,12 @@
 )
 async def test_a_planted_bug_is_found(tmp_path: Path, rule: int, bug: str, script: str) -> None:
     _, found = await run_trial(tmp_path, script, bug=bug)
-    assert found[rule], "the judge is blind"
+    assert found[rule], "the checker missed the seeded bug"
 
 
 async def test_low_traffic_drivers_read_from_primaries_instead_of_probing(tmp_path: Path) -> None:
-    """A group is met by each driver about once in 1.5 s, a position is good for 0.3 s."""
-    quiet = "last 20s\n"  # about 75 reads: of half as many, chance decided now and then
+    """Each driver sends a request to a group about every 1.5 s, and a position is valid for only 0.3 s."""
+    quiet = "last 20s\n"  # about 75 reads; half as many gave chance results now and then
     now, found = await run_trial(tmp_path / "now", quiet, pause_s=3.0)
     assert not any(found.values())
     bug = "PositionChecker.prefers_primary = lambda *_: False"
@@ -124,13 +126,13 @@
 
 
 async def test_silent_watches_hide_no_drain_from_drivers_of_a_large_fleet(tmp_path: Path) -> None:
-    """Five of a fleet of 400, whose calls after a refusal are spread over nine seconds."""
+    """Five drivers of a fleet of 400, whose calls after a refusal are spread over nine seconds."""
     script = "fleet 400\nask-every 4s\nlast 13s\nat 6s link-mute edge/* to list\nat 6500ms drain g0/replica\n"
     trial, found = await run_trial(tmp_path, script)
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     records = trial.recorder.records
     (muted,) = [r.at for r in records if isinstance(r, rec.Fault) and "link-mute" in r.text and r.active]
-    for name in trial.names:  # by a new watch, before what the old one missed counts as told
+    for name in trial.names:  # by a new watch, before the drain that the old one missed counts as announced
         notified = [
             r.at
             for r in records
@@ -153,9 +155,9 @@
     ],
 )
 async def test_drivers_leave_a_replica_that_fails_fast(tmp_path: Path, bug: str, leaves: bool) -> None:
-    """Planted beside it: who fails is judged by its success rate alone, or by nothing and keeps its work.
+    """Seeded variants detect a failing replica by its success rate alone, or not at all.
 
-    Beside load, health checks run out of time and eject members; one that only fails is not reinstated.
+    Under load, health checks time out and eject members; one that only fails requests is not reinstated.
     """
     script = "groups 1\nmembers 5\nsessions 40\nlast 7s\nat 2s for 4s fail g0/1 100%\n"
     trial, found = await run_trial(tmp_path, script, pause_s=0.1, bug=bug)
@@ -166,9 +168,11 @@
 
 
 async def test_recovered_replica_serves_bounded_reads_again(tmp_path: Path) -> None:
-    """All reads have a bound, which only a position just heard satisfies. What becomes of it where nobody
-    looks beside reads is asked in virtual time (tests/emulator): answers that wait for a busy machine make
-    drivers look anyway."""
+    """All reads have a staleness bound, which only a recently received position satisfies.
+
+    The case without position checks is tested in virtual time (tests/emulator): on a loaded machine, delayed
+    answers make drivers check positions anyway.
+    """
     script = "groups 1\nmembers 4\nsessions 30\nlast 14s\nat 1s for 3s fail g0/1 100%\n"
     trial, found = await run_trial(tmp_path, script, 0.15, weights=(1.0, 0.0, 0.0))
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
@@ -177,7 +181,7 @@
 
 
 def share(trial: SingleProcessTrial, member: str, start: int, end: int) -> float:
-    """Of the first group's replicas' work between two times, beside an even part."""
+    """Load of a replica of the first group between two times, relative to its fair share."""
     replicas = sorted(m.name for m in trial.fleet.groups[0].endpoints[1:])
     came = spread.arrivals(trial.recorder.records, replicas)
     cells = spread.count_by_bin(came, replicas, start, end, end - start)
@@ -208,7 +212,7 @@
     assert not any(found.values()), {n: [v.text for v in vs[:5]] for n, vs in found.items() if vs}
     answers = [r for r in trial.recorder.records if isinstance(r, rec.ResponseReceived)]
     assert sum(r.status == 0 for r in answers) > least * len(answers) > 50
-    # Every replica that runs to the end has work again, from every driver that has a fair number of reads.
+    # Every replica that is alive at the end receives requests again.
     now = max(r.at for r in answers)
     alive = {m.name for m in trial.fleet.endpoints.values() if m.alive and not m.draining}
     late = [a for a in spread.arrivals(trial.recorder.records, alive) if a.at > now - 3 * SECOND]
--- a/tests/testbed/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a trial: every fault on them, and that nothing outlives it."""
+"""Processes of a trial: each of their faults, and that none survives the trial."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def alive(pid: int) -> bool:
-    """Not a zombie either."""
+    """Whether the process exists and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except (FileNotFoundError, ProcessLookupError):
@@ -64,7 +64,7 @@
         assert process.state is ProcessState.FROZEN
         with trio.fail_after(SECONDS):
             size = -1
-            while size != process.log.stat().st_size:  # the signal may take its time
+            while size != process.log.stat().st_size:  # SIGSTOP takes effect asynchronously
                 size = process.log.stat().st_size
                 await trio.sleep(0.1)
         process.terminate()
--- a/tests/testbed/test_relay.py
+++ b/tests/testbed/test_relay.py
@@ -1,4 +1,4 @@
-"""Links between processes: carried whole, cut silently in one or both directions, slowed, reset, refused."""
+"""Relayed links: intact delivery, silent cuts in one or both directions, delays, resets and refusals."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Echo:
-    """Answers every byte in capitals; `received` is what came."""
+    """An echo server that answers in upper case; `received` holds all bytes received."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -58,7 +58,7 @@
         self.echo = echo
         self.relay = relay
         self.stream = stream
-        self.near_end_closed = near_end_closed  # of each connection, whether its near end is closed
+        self.near_end_closed = near_end_closed  # one function per connection
 
     async def receive(self, wanted: bytes) -> None:
         received = b""
@@ -93,7 +93,7 @@
 
 
 async def receive_to_end(stream: trio.abc.Stream) -> None:
-    """Returns where it ended in good order."""
+    """Read until the stream ends without an error."""
     while await stream.receive_some(1):
         pass
 
@@ -162,7 +162,7 @@
         link.relay.cut()
         await link.stream.send_all(b"b")
         await link.stream.aclose()
-        await trio.testing.wait_all_tasks_blocked(0.1)  # until the relay has read both
+        await trio.testing.wait_all_tasks_blocked(0.1)  # until the relay has read the data and the close
         link.relay.heal()
         while link.relay.connections:
             await trio.testing.wait_all_tasks_blocked()
@@ -196,10 +196,10 @@
 async def test_new_connection_is_reset_while_refusing_or_without_a_far_end() -> None:
     async with echo_through_relay() as link:
         link.relay.refusing = True
-        with pytest.raises((trio.BrokenResourceError, ConnectError)):  # the reset may overtake the connecting
+        with pytest.raises((trio.BrokenResourceError, ConnectError)):  # the reset may arrive during connect
             await connect_and_receive(link.relay.port)
         link.relay.refusing = False
-        with socket.socket() as held:  # the port is nobody else's, and nobody listens
+        with socket.socket() as held:  # reserves the port without listening
             held.bind(("127.0.0.1", 0))
             link.relay.dial = connect_to_port(TcpNetwork(), held.getsockname()[1])
             with pytest.raises((trio.BrokenResourceError, ConnectError)):
@@ -229,13 +229,13 @@
 
 
 async def test_closed_near_end_is_detected_before_its_bytes_are_read() -> None:
-    """What the kernel knows counts, also with bytes still unread: the loop has not turned since."""
+    """The kernel's state decides, even while bytes are unread and the event loop has not run since."""
     async with echo_through_relay() as link:
         await link.stream.send_all(b"hello")
         await link.receive(b"HELLO")
         (near_end_closed,) = link.near_end_closed
         assert not near_end_closed()
-        await link.stream.send_all(b"last words")
+        await link.stream.send_all(b"unread")
         assert isinstance(link.stream, trio.SocketStream)
         link.stream.socket.close()
         assert near_end_closed()
@@ -247,7 +247,7 @@
 async def test_member_skips_requests_whose_sender_closed_before_they_were_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Every sender has closed, as far as the kernel knows, by the time the member has read it."""
+    """Guards against executing requests of closed senders: here the kernel reports every sender as closed."""
     text = "groups 1\nmembers 2\nedges 1\nsessions 2\nlast 3s\nlist-delay 100ms\n"
     trial = SingleProcessTrial(parse(text), TcpNetwork(), tmp_path, 0.05)
     monkeypatch.setattr(relay_module, "hung_up", lambda _: True)
--- a/tests/testbed/test_run_queue.py
+++ b/tests/testbed/test_run_queue.py
@@ -1,4 +1,4 @@
-"""Waits for a processor: what samples of the kernel's count prove of a span, and that they are taken."""
+"""Run queue waits: the lower bounds derived from samples, and the sampling of processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def waits_of(*samples: tuple[int, int]) -> RunQueueWaits:
-    """Samples of one process: when, and its count then."""
+    """Create samples of one process from pairs of time and wait counter."""
     waits = RunQueueWaits()
     for at_us, waited_us in samples:
         waits.add("n0", WaitSample(at_us, PID, waited_us))
@@ -34,13 +34,13 @@
 def test_wait_is_counted_when_it_ends_and_reaches_back_by_its_length() -> None:
     waits = waits_of((0, 0), (100, 0), (200, 0), (300, 250))
     assert waits.waited_us("n0", 50, 200) == 150
-    assert waits.waited_us("n0", 0, 60) == 10, "it may have begun at 50"
+    assert waits.waited_us("n0", 0, 60) == 10, "it may have begun at time 50"
 
 
 def test_a_wait_that_may_have_been_outside_of_the_span_is_not_counted() -> None:
     waits = waits_of((0, 0), (100, 60))
-    assert waits.waited_us("n0", 50, 100) == 0, "it may have been over at once"
-    assert waits.waited_us("n0", -60, 70) == 30, "or at the end"
+    assert waits.waited_us("n0", 50, 100) == 0, "it may have ended right after the first sample"
+    assert waits.waited_us("n0", -60, 70) == 30, "or right before the second"
 
 
 def test_a_wait_that_may_be_part_of_a_hold_up_is_not_counted() -> None:
--- a/tests/testbed/test_shrink.py
+++ b/tests/testbed/test_shrink.py
@@ -1,4 +1,4 @@
-"""Failing scripts made smaller, without playing them."""
+"""Shrinking of failing scripts, without running them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     runs = 0
 
     async def fails(script: Script) -> bool:
-        """Only the drain matters, with a third driver to carry it out, as it were."""
+        """Fail if the script drains a member and has at least three drivers."""
         nonlocal runs
         runs += 1
         return any(s.fault == "drain" for s in script.steps) and script["edges"] >= 3
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short one passes, planted bugs are found, and its judges find each violation by itself."""
+"""The soak: short runs pass, seeded bugs are found, and each check of the oracle finds its violation."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 
 DRIVERS = 8
 DURATION_MS = 9_000
-RATES = {kind: min(3 * rate, 0.5) for kind, rate in FAULT_RATES.items()}  # a short soak has fewer calls
+RATES = {
+    kind: min(3 * rate, 0.5) for kind, rate in FAULT_RATES.items()
+}  # higher, since a short soak has fewer calls
 SECOND = 1_000_000
 ID = "00000000000000f1"
 
-# What the plans of these seeds have.
+# Seeds, named by what their plans contain.
 LONG_DEADLINES = 3
 SHORT_DEADLINES = 7
 SHORT_DEADLINES_IN_A_CROWD = 1
@@ -56,29 +58,29 @@
 """
 ENDS_CLIENTS_WITH_OPEN_REQUESTS = """
 close_inactive = ClientListener.close_inactive
-def planted(self):
+def patched(self):
     close_inactive(self)
     for client in [c for c in self.clients if c.command_count > 3][:1]:
         self.close_gracefully(client, CloseReason.IDLE)
-ClientListener.close_inactive = planted
+ClientListener.close_inactive = patched
 """
 
 COUNTS_DEADLINE_FROM_POLL_RETURN = """
 wait = Poller.wait
-async def planted(self, until_us):
+async def patched(self, until_us):
     await wait(self, until_us)
     self.ready_since_us = self.clock.now_us()
-Poller.wait = planted
+Poller.wait = patched
 """
 STOPS_READING_BUSY_CONNECTIONS = """
-def planted(self):
+def patched(self):
     self.closing = True
     for client in list(self.clients):
         if client.commands:
             client.pause_reading()
         elif not client.closing_since_us and client.is_idle:
             self.close_gracefully(client, CloseReason.SHUTDOWN)
-ClientListener.close_when_answered = planted
+ClientListener.close_when_answered = patched
 ClientConnection.is_idle = property(lambda client: not client.commands and not client._protocol.buffered)
 """
 
@@ -97,9 +99,9 @@
 @pytest.mark.parametrize(
     "bug, expected_text",
     [
-        pytest.param(TRUSTS_WALL_CLOCK, "rule 5", id="believes the wall clock"),
-        pytest.param(WRITES_AFTER_DISCONNECT, "after its client had left", id="writes for those who left"),
-        pytest.param(ENDS_CLIENTS_WITH_OPEN_REQUESTS, "closed unanswered", id="ends clients"),
+        pytest.param(TRUSTS_WALL_CLOCK, "rule 5", id="trusts the wall clock"),
+        pytest.param(WRITES_AFTER_DISCONNECT, "after its client had left", id="writes after a disconnect"),
+        pytest.param(ENDS_CLIENTS_WITH_OPEN_REQUESTS, "closed unanswered", id="closes active clients"),
     ],
 )
 async def test_a_planted_bug_is_found_by_a_soak(tmp_path: Path, bug: str, expected_text: str) -> None:
@@ -110,7 +112,7 @@
 
 
 async def test_connections_that_end_over_what_was_sent_are_found_by_a_soak(tmp_path: Path) -> None:
-    """Members hang, so that requests are open when connections begin to be closed."""
+    """Members hang, so that requests are open when the driver begins to close connections."""
     program = ("-c", FAULTY_PROGRAM.format(bug=STOPS_READING_BUSY_CONNECTIONS))
     report = await run_shutdowns_while_members_hang(tmp_path, program)
     assert any("before its connection ended" in text for text in report.violations)
@@ -130,7 +132,7 @@
 
 
 async def test_requests_that_count_from_the_end_of_a_wait_are_found_by_a_soak(tmp_path: Path) -> None:
-    """What arrives while the process is held up in a wait is answered late by as much."""
+    """Seeded bug: requests that arrive while the process is held up in a poll are answered late."""
     program = ("-c", FAULTY_PROGRAM.format(bug=COUNTS_DEADLINE_FROM_POLL_RETURN))
     report = await run_hold_ups_while_answers_are_lost(tmp_path, program)
     assert any("after its deadline" in text for text in report.violations), report.counts
@@ -144,7 +146,7 @@
 
 
 async def run_hold_ups_while_answers_are_lost(directory: Path, program: Sequence[str]) -> SoakReport:
-    """Where answers of endpoints get lost, it is the driver that decides when a request has its answer."""
+    """Lost answers of endpoints make the driver itself decide when a request is answered."""
     script = """
     groups 2
     members 4
@@ -179,7 +181,7 @@
     assert render(draw_plan(7, 12, 15_000)) != render(draw_plan(8, 12, 15_000))
 
 
-# Its judges, each with a violation of its own.
+# The checks of the oracle, each with its own violation.
 
 
 CLASSES = [rec.RequestClass(0, "board", "repeatable", 0, False, True, -1, 1, 1, 0)]
@@ -223,7 +225,7 @@
             lambda path: check_log(
                 path, [attempt(SECOND)], ClientObservations(unanswered_at_close={ID: "n0"})
             ),
-            id="a crossed request that was sent on",
+            id="an unanswered request that was forwarded",
         ),
         pytest.param(
             lambda path: check_log(
@@ -231,10 +233,10 @@
                 observations=ClientObservations(unanswered_at_close={ID: "n0"}),
                 lines=({"event": "request taken", "request": ID},),
             ),
-            id="a crossed request that was read",
+            id="an unanswered request that was accepted",
         ),
         pytest.param(
-            lambda path: check_log(path, lines=({"event": "rule violated"},)), id="a driver's monitor"
+            lambda path: check_log(path, lines=({"event": "rule violated"},)), id="a rule violation in a log"
         ),
         pytest.param(
             lambda path: check_log(path, lines=({"event": "timer raised"},)), id="an internal error"
@@ -247,13 +249,13 @@
             lambda path: check_log(
                 path, observations=ClientObservations(awaited=[awaited(60_000, answered=False)])
             ),
-            id="a client that waited in vain",
+            id="a missing answer",
         ),
         pytest.param(lambda path: check_log(path, exits=(ExitStatus("n0", 1),)), id="an exit status"),
         pytest.param(lambda path: check_log(path, crashed=("n0",)), id="a crash"),
         pytest.param(
-            lambda path: check_log(path, observations=ClientObservations(violations=["told"])),
-            id="a client's word",
+            lambda path: check_log(path, observations=ClientObservations(violations=["observed"])),
+            id="a client's observation",
         ),
     ],
 )
@@ -276,7 +278,7 @@
 
 
 def write_hold_up(directory: Path, start_us: int, end_us: int) -> None:
-    """Record a hold-up of n0."""
+    """Write a hold-up record of n0."""
     (directory / f"n0.0{HOLD_UPS_SUFFIX}").write_bytes(RECORD.pack(start_us, end_us))
 
 
@@ -314,7 +316,7 @@
 def test_run_queue_wait_excuses_no_more_than_its_length(
     tmp_path: Path, wait_us: tuple[int, int], answer: AwaitedAnswer, violated: bool
 ) -> None:
-    """Guards against drivers blamed for the machine; a wait is known by samples around its end."""
+    """Guards against blaming drivers for a loaded machine. A wait is derived from samples around its end."""
     start_us, end_us = wait_us
     waits = RunQueueWaits()
     for at_us, waited_us in ((0, 0), (end_us - 1_000, 0), (end_us, end_us - start_us)):
@@ -327,7 +329,7 @@
     "loop_late_us, violated", [(0, True), (100_000, True), (300_000, False), (300_001, False)]
 )
 def test_loop_lag_of_the_soak_extends_the_deadline(tmp_path: Path, loop_late_us: int, violated: bool) -> None:
-    """Guards against answers that came in time and that the soak, itself without a processor, read late."""
+    """Guards against violations from timely answers that the soak, itself without a CPU, read late."""
     answered_us = SECOND + 315_000
     records = [
         rec.RequestSent(0, ID, 0, "n0", "board", "s", "", 0, "r", SECOND),
