--- a/juniperreel/testbed/soak/run.py
+++ b/juniperreel/testbed/soak/run.py
@@ -26,8 +26,8 @@
 from juniperreel.testbed.soak.oracle import SoakReport, check_soak
 from juniperreel.testbed.soak.persistent_clients import PersistentClient
 from juniperreel.testbed.soak.plan import FAULT_RATES, draw_plan
+from juniperreel.testbed.soak.punctual_clients import ShortDeadlineClient
 from juniperreel.testbed.soak.requests import MAX_ANSWER_DELAY_US, ClientObservations, SoakRequests
-from juniperreel.testbed.soak.short_deadline_clients import ShortDeadlineClient
 from juniperreel.verification import records as rec
 
 FAULTY_DRIVER_PROGRAM = ("-m", "juniperreel.testbed.faulty_driver")
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -24,9 +24,8 @@
 
 DRIVERS = 8
 DURATION_MS = 9_000
-RATES = {
-    kind: min(3 * rate, 0.5) for kind, rate in FAULT_RATES.items()
-}  # higher, since a short soak has fewer calls
+# Higher than in a full soak, since a short one has fewer calls.
+RATES = {kind: min(3 * rate, 0.5) for kind, rate in FAULT_RATES.items()}
 SECOND = 1_000_000
 ID = "00000000000000f1"
 
