--- a/juniperreel/testbed/soak/oracle.py
+++ b/juniperreel/testbed/soak/oracle.py
@@ -133,7 +133,10 @@
 
 
 def _rule_violations(records: Sequence[rec.Record], observations: ClientObservations) -> Iterator[str]:
-    """Check the five rules. Requests unanswered at close, or whose client left, are checked separately."""
+    """Check the five rules.
+
+    Clients that disconnected are owed no answer, and requests unanswered at close are checked separately.
+    """
     sent_ids = {record.request_id for record in records if isinstance(record, rec.RequestSent)}
     for number, rule in RULES.items():
         checked = records
