--- a/juniperreel/testbed/soak/__main__.py
+++ b/juniperreel/testbed/soak/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m juniperreel.testbed.soak --seeds 1-20`: plays soaks and says what they showed.
+"""`python -m juniperreel.testbed.soak --seeds 1-20`: runs soaks and prints their reports.
 
-A single seed plays one again. Logs and settings of a soak that did not pass are kept in its directory.
+A single seed repeats one soak. Logs and settings of a soak that did not pass are kept in its directory.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 from juniperreel.net import TcpNetwork
 from juniperreel.testbed.injected_faults import FaultKind
-from juniperreel.testbed.soak.oracle import LONGEST_LAG, SoakReport
+from juniperreel.testbed.soak.oracle import MAX_LOOP_LAG, SoakReport
 from juniperreel.testbed.soak.plan import FAULT_RATES
-from juniperreel.testbed.soak.run import play_soak
+from juniperreel.testbed.soak.run import run_soak
 
 MAX_VIOLATIONS_SHOWN = 12
 
@@ -28,12 +28,12 @@
     parser.add_argument("--seeds", default="1", help="one seed, or the first and the last: 1-20")
     parser.add_argument("--drivers", type=int, default=12)
     parser.add_argument("--seconds", type=float, default=15.0)
-    parser.add_argument("--directory", type=Path, default=None, help="keeps what soaks leave")
+    parser.add_argument("--directory", type=Path, default=None, help="keeps files of failed soaks")
     kinds = [kind.value for kind in FaultKind]
     parser.add_argument(
         "--without", nargs="*", choices=kinds, default=[], help="kinds of faults to leave out"
     )
-    parser.add_argument("--counts", action="store_true", help="show how often each fault happened")
+    parser.add_argument("--counts", action="store_true", help="show how often each fault occurred")
     return parser.parse_args()
 
 
@@ -43,7 +43,7 @@
     verdict = "passed" if report.passed else "FAILED"
     print(f"seed {report.seed}: {verdict}, {served}, {len(report.violations)} violations", flush=True)
     if report.violations:
-        print(f"    {counts[LONGEST_LAG]} {LONGEST_LAG}", flush=True)
+        print(f"    {counts[MAX_LOOP_LAG]} {MAX_LOOP_LAG}", flush=True)
     for text in report.violations[:MAX_VIOLATIONS_SHOWN]:
         print(f"    {text}", flush=True)
     if report.missing:
@@ -54,7 +54,7 @@
 
 
 def main() -> int:
-    """Play all seeds; return 1 where one did not pass."""
+    """Run all seeds; return 1 if any did not pass."""
     arguments = _parse_arguments()
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
@@ -66,8 +66,8 @@
         directory = root / str(seed)
         shutil.rmtree(directory, ignore_errors=True)
         directory.mkdir(parents=True)
-        last_ms = int(arguments.seconds * 1000)
-        report = trio.run(play_soak, seed, arguments.drivers, last_ms, TcpNetwork(), directory, rates)
+        duration_ms = int(arguments.seconds * 1000)
+        report = trio.run(run_soak, seed, arguments.drivers, duration_ms, TcpNetwork(), directory, rates)
         _show(report, arguments.counts)
         if report.passed:
             shutil.rmtree(directory)
--- a/juniperreel/testbed/soak/persistent_clients.py
+++ b/juniperreel/testbed/soak/persistent_clients.py
@@ -1,7 +1,7 @@
-"""Clients of a soak that send on an open connection until the driver ends it, without waiting for answers.
+"""Soak clients that keep sending on an open connection until the driver closes it, without awaiting answers.
 
-Of the requests that then have no answer only those may be excused that crossed the end of their connection:
-what was written well before the end was accepted.
+An unanswered request is excused only if it was sent at about the time of the close: a request that was sent
+well before the close must have been accepted.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from juniperreel.postgres import messages
 from juniperreel.testbed.soak.loop_lag import LoopLag
 from juniperreel.testbed.soak.reconnecting import use_connections
-from juniperreel.testbed.soak.requests import HELLO, FindDriver, SoakRequests
+from juniperreel.testbed.soak.requests import STARTUP_MESSAGE, FindDriver, SoakRequests
 from juniperreel.verification import records as rec
 
-PAUSE_S = 0.06  # mean, between two sends of one client
+PAUSE_S = 0.06  # mean, between two bursts of one client
 MAX_UNANSWERED = 40
-MAX_BURST = 5  # requests that are sent at once
-RECONNECT_S = 0.1
-# Between a driver's last look at a connection and its end; where drivers are held up, that comes on top.
-CROSSING_US = 50_000
+MAX_BURST = 5  # requests sent back to back
+RECONNECT_DELAY_S = 0.1
+# From a driver's last read of a connection to its close, without injected hold-ups.
+CLOSE_RACE_US = 50_000
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request whose last byte was written at `at_us`."""
+    """A request and the time at which its transmission began."""
 
     request_class: rec.RequestClass
     request_id: str
@@ -37,31 +37,31 @@
 
 
 class PersistentClient:
-    """One client: connects, sends until its connection ends, and connects again."""
+    """A client that sends until its connection is closed, and then reconnects."""
 
     def __init__(
         self, requests: SoakRequests, find_driver: FindDriver, lag: LoopLag, hold_up_us: int, seed: int
     ) -> None:
-        """`find_driver` names a driver that takes clients; drivers are held up for `hold_up_us` at most."""
+        """`find_driver` returns a driver that accepts clients; hold-ups last `hold_up_us` at most."""
         self._requests = requests
         self._find_driver = find_driver
         self._lag = lag
-        self._crossing_us = CROSSING_US + hold_up_us
+        self._close_race_us = CLOSE_RACE_US + hold_up_us
         self._rng = random.Random(seed)
 
     async def run(self) -> None:
         """Send until cancelled."""
-        await use_connections(self._find_driver, self._use, RECONNECT_S)
+        await use_connections(self._find_driver, self._use, RECONNECT_DELAY_S)
 
     async def _use(self, stream: trio.SocketStream, driver: str) -> None:
-        with self._requests.notes.conversation():
+        with self._requests.observations.track_connection():
             connection = _Connection(self._requests, driver, stream, self._rng)
             await connection.run()
-            connection.judge_end(self._lag, self._crossing_us)
+            connection.check_close(self._lag, self._close_race_us)
 
 
 class _Connection:
-    """The requests of one connection, in the order in which they were sent."""
+    """One connection and its unanswered requests, in the order in which they were sent."""
 
     def __init__(
         self, requests: SoakRequests, driver: str, stream: trio.SocketStream, rng: random.Random
@@ -73,10 +73,10 @@
         self._session = requests.new_session()
         self._unanswered: deque[SentRequest] = deque()
         self._received = b""
-        self._is_welcomed = False
+        self._is_started = False
 
     async def run(self) -> None:
-        """Send and read until the connection ends."""
+        """Send and read until the connection is closed."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send)
             await self._read()
@@ -84,21 +84,21 @@
 
     async def _send(self) -> None:
         try:
-            await self._stream.send_all(HELLO)
+            await self._stream.send_all(STARTUP_MESSAGE)
             while True:
                 for _ in range(self._rng.choice((1, 1, 1, MAX_BURST))):
                     if len(self._unanswered) < MAX_UNANSWERED:
                         await self._send_request()
                 await trio.sleep(self._rng.expovariate(1 / PAUSE_S))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            return  # the reader sees the end
+            return  # `_read` detects the close
 
     async def _send_request(self) -> None:
         requests = self._requests
-        request_class = self._rng.choice((requests.board, requests.own, requests.write))
+        request_class = self._rng.choice((requests.bounded_read, requests.session_read, requests.write))
         request_id = requests.new_id()
         now_us = requests.clock.now_us()
-        requests.record_asked(now_us, self._driver, request_class, request_id, self._session)
+        requests.record_sent(now_us, self._driver, request_class, request_id, self._session)
         self._unanswered.append(SentRequest(request_class, request_id, now_us))
         await self._stream.send_all(requests.query(request_class, request_id, self._session))
 
@@ -106,45 +106,48 @@
         try:
             while data := await self._stream.receive_some(READ_BYTES):
                 self._received += bytes(data)
-                self._take_answers()
+                self._process_answers()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
-    def _take_answers(self) -> None:
+    def _process_answers(self) -> None:
         *answers, self._received = self._received.split(messages.READY)
         for answer in answers:
-            if not self._is_welcomed:
-                self._is_welcomed = True
+            if not self._is_started:
+                self._is_started = True
                 continue
             if not self._unanswered:
-                self._requests.notes.violations.append(f"{self._driver} answered what nobody asked")
+                self._requests.observations.violations.append(f"unrequested answer of {self._driver}")
                 return
             sent = self._unanswered.popleft()
-            self._requests.judge_answer(self._driver, sent.request_class, sent.request_id, answer)
-            self._requests.notes.counts["answers to clients that keep sending"] += 1
+            self._requests.check_answer(self._driver, sent.request_class, sent.request_id, answer)
+            self._requests.observations.counts["answers to clients that keep sending"] += 1
 
-    def judge_end(self, lag: LoopLag, crossing_us: int) -> None:
-        """Judge what has no answer, now that the connection has ended.
+    def check_close(self, lag: LoopLag, close_race_us: int) -> None:
+        """Check the unanswered requests after the connection was closed.
 
-        What was sent within `crossing_us` of its end, and of this process's own delay, may have crossed it.
+        Requests sent within `close_race_us`, plus this process's own lag, of the close may be unanswered.
         """
         requests = self._requests
         ended_us = requests.clock.now_us()
-        if not self._is_welcomed:
-            return self._judge_unwelcomed()
+        if not self._is_started:
+            return self._check_closed_before_startup()
         for sent in self._unanswered:
-            requests.judge_unanswered(self._driver, sent.request_id, True, sent.at_us)
-            early_us = ended_us - sent.at_us
-            tolerance_us = crossing_us + lag.tolerance_us(sent.at_us)
-            if sent.request_id in requests.notes.crossed and early_us > tolerance_us:
-                requests.notes.violations.append(
-                    f"{sent.request_id} was sent to {self._driver} {early_us} us before its connection ended"
-                    f" at {ended_us}, tolerated {tolerance_us}"
+            requests.check_unanswered(self._driver, sent.request_id, True, sent.at_us)
+            before_close_us = ended_us - sent.at_us
+            tolerance_us = close_race_us + lag.tolerance_us(sent.at_us)
+            if (
+                sent.request_id in requests.observations.unanswered_at_close
+                and before_close_us > tolerance_us
+            ):
+                requests.observations.violations.append(
+                    f"{sent.request_id} was sent to {self._driver} {before_close_us} us"
+                    f" before its connection ended at {ended_us}, tolerated {tolerance_us}"
                 )
-        requests.notes.counts["kept sending until the end"] += 1
+        requests.observations.counts["kept sending until the end"] += 1
         return None
 
-    def _judge_unwelcomed(self) -> None:
-        """Judge requests on a connection that ended before the first answer: without descriptors it may."""
+    def _check_closed_before_startup(self) -> None:
+        """Check requests on a connection closed before its startup response, for lack of descriptors."""
         for sent in self._unanswered:
-            self._requests.judge_unanswered(self._driver, sent.request_id, True, sent.at_us)
+            self._requests.check_unanswered(self._driver, sent.request_id, True, sent.at_us)
