--- a/juniperreel/raft/configuration/commands.py
+++ b/juniperreel/raft/configuration/commands.py
@@ -1,4 +1,4 @@
-"""What a client asks of the configuration, and the bytes of a command in the log. Free of I/O."""
+"""Commands that change the configuration, and their encoding in the log. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SetMember(msgspec.Struct, frozen=True, tag="set-member"):
-    """Add a member, or replace what is known of it."""
+    """Add or replace a member."""
 
     name: str
     member: MemberInfo
@@ -22,7 +22,8 @@
 class SetState(msgspec.Struct, frozen=True, tag="set-state"):
     """Change a member's state: draining, gone, or up again.
 
-    A member that comes back has a newer `started_us`, the wall time of its start in microseconds.
+    `started_us` is the wall-clock time of the member's start in microseconds. It must be newer when a member
+    that was gone is up again.
     """
 
     name: str
@@ -31,13 +32,13 @@
 
 
 class RemoveMember(msgspec.Struct, frozen=True, tag="remove-member"):
-    """Remove a member that is gone."""
+    """Remove a member in state `gone`."""
 
     name: str
 
 
 class SetGroup(msgspec.Struct, frozen=True, tag="set-group"):
-    """Add a group, or name its primary in a newer epoch."""
+    """Add a group, or set its primary in a newer epoch."""
 
     number: int
     group: GroupInfo
@@ -64,7 +65,7 @@
 
 
 class SetLimit(msgspec.Struct, frozen=True, tag="set-limit"):
-    """Set a limit; None removes it, so that the default holds."""
+    """Set a limit; None restores the default."""
 
     name: str
     value: int | None
@@ -76,13 +77,13 @@
 
 
 class Command(msgspec.Struct, frozen=True, rename={"expected_version": "expect"}):
-    """All of `changes`, or none of them.
+    """A list of changes that is applied atomically.
 
     Attributes:
-        client: Who sent it.
-        sequence: Its number among the client's commands, so that a retry is applied once.
-        changes: In the order in which they are made.
-        expected_version: The version that it was made against, or None if any will do (compare and set).
+        client: Name of the client that sent it.
+        sequence: Sequence number of the client's command, so that a retry is applied only once.
+        changes: The changes, in order.
+        expected_version: The version that must be in force (compare-and-set), or None for any version.
     """
 
     client: str
@@ -92,12 +93,12 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """The data of a COMMAND entry."""
+    """Encode a command as the data of a COMMAND entry."""
     return msgspec.msgpack.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """The command in a COMMAND entry's data. Raises MalformedDataError for other bytes."""
+    """Decode the data of a COMMAND entry. Raises MalformedDataError."""
     try:
         command = msgspec.msgpack.decode(data, type=Command)
     except msgspec.DecodeError as error:
--- a/juniperreel/raft/configuration/model.py
+++ b/juniperreel/raft/configuration/model.py
@@ -1,7 +1,7 @@
-"""One version of the configuration, as persistent maps: a new version shares what did not change.
+"""Configuration versions as persistent maps: a new version shares its unchanged parts with the old one.
 
-Free of I/O. A version is never changed in place; proxies hold old versions while new ones are made. A field
-that was renamed keeps its stored name through `rename`, as versions are stored in snapshots and in the log.
+No I/O. Versions are immutable, as proxies may still use an old version while a new one is created. Renamed
+fields keep their stored names through `rename`, since versions are stored in snapshots and in the log.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 class MemberInfo(msgspec.Struct, frozen=True):
     """A database member.
 
-    `state` is up, draining or gone. `started_us` is the wall time of its start in microseconds, 0 if not
-    known.
+    `state` is up, draining or gone. `started_us` is the wall-clock time of its start in microseconds, 0 if
+    unknown.
     """
 
     group: int
@@ -37,7 +37,7 @@
 
 
 class GroupInfo(msgspec.Struct, frozen=True):
-    """Who is primary in which epoch; None while nobody is."""
+    """A group's epoch and its primary, or None if it has no primary."""
 
     epoch: int
     primary: str | None
@@ -54,7 +54,7 @@
         "late_priority_weight": "late_worth",
     },
 ):
-    """A request class, as the settings file has it. Durations are in microseconds."""
+    """A request class, as in the settings file. Durations are in microseconds."""
 
     idempotency: str
     key_scope: str
@@ -68,14 +68,14 @@
 
 
 class TenantInfo(msgspec.Struct, frozen=True):
-    """A tenant's part of the capacity, from 0 to 1, and its quota in requests per second."""
+    """A tenant's share of the capacity, from 0 to 1, and its quota in requests per second."""
 
     share: float
     quota: float = 0.0
 
 
 class ClientSession(msgspec.Struct, frozen=True, rename={"rejection": "refusal"}):
-    """A client's last command and its outcome, so that a retry is not applied again."""
+    """A client's last command and its outcome, used to deduplicate retries."""
 
     sequence: int
     version: int
@@ -83,7 +83,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version. `version` counts the commands that changed anything."""
+    """One version of the configuration. `version` counts the accepted commands."""
 
     version: int
     members: Map[str, MemberInfo]
@@ -94,7 +94,7 @@
     clients: Map[str, ClientSession]
 
     def members_of_group(self, group: int) -> Iterator[tuple[str, MemberInfo]]:
-        """The members of a group, with their names."""
+        """Names and members of a group."""
         return ((name, member) for name, member in self.members.items() if member.group == group)
 
 
@@ -102,7 +102,7 @@
 
 
 class EncodedConfiguration(msgspec.Struct, frozen=True):
-    """The form of a version in snapshots and on the wire."""
+    """Encoded form of a version in snapshots and on the wire."""
 
     format: int
     version: int
@@ -115,7 +115,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """From version `since` to a later one: what is new or changed, and None for names that are gone."""
+    """Difference from version `since` to a later one: new or changed values, and None for removed keys."""
 
     format: int
     since: int
@@ -131,15 +131,15 @@
 
 
 def sorted_by_key(mapping: Any) -> dict[Any, Any]:
-    """The mapping in the order of its keys.
+    """The mapping sorted by key.
 
-    Persistent maps have no order of their own, and nodes compare the bytes that they are encoded to.
+    Persistent maps are unordered, and the encoded bytes must be identical on every node.
     """
     return {key: mapping[key] for key in sorted(mapping)}
 
 
 def encode(configuration: Configuration, *, clients: bool) -> bytes:
-    """The same bytes on every node. `clients` only for snapshots: watchers have no use for them."""
+    """Encode a version deterministically. `clients` adds the client sessions, for snapshots only."""
     sections = {name: sorted_by_key(getattr(configuration, name)) for name in SECTIONS}
     sessions = sorted_by_key(configuration.clients) if clients else {}
     return msgspec.msgpack.encode(
@@ -148,7 +148,7 @@
 
 
 def decode(data: bytes) -> Configuration:
-    """The version in the bytes. Raises MalformedDataError for a format that this program does not read."""
+    """Decode a version. Raises MalformedDataError for malformed data or an unsupported format."""
     try:
         encoded = msgspec.msgpack.decode(data, type=EncodedConfiguration)
     except msgspec.DecodeError as error:
@@ -162,7 +162,7 @@
 
 
 def encode_delta(old: Configuration, new: Configuration) -> bytes:
-    """The bytes of the delta from one version to a later one."""
+    """Encode the delta from one version to a later one."""
     sections: dict[str, dict[Any, Any]] = {}
     for name in SECTIONS:
         before = getattr(old, name)
@@ -174,7 +174,7 @@
 
 
 def apply_delta(old: Configuration, data: bytes) -> Configuration:
-    """The later version. Raises MalformedDataError for bytes that are no delta from exactly `old`."""
+    """Apply an encoded delta. Raises MalformedDataError if it is malformed or is not based on `old`."""
     try:
         delta = msgspec.msgpack.decode(data, type=Delta)
     except msgspec.DecodeError as error:
@@ -188,7 +188,7 @@
 
 
 def _updated(section: Map[Any, Any], changes: dict[Any, Any]) -> Map[Any, Any]:
-    """A section with the changes made; None removes a key."""
+    """A section with the changes applied; None removes a key."""
     with section.mutate() as mutation:
         for key, value in changes.items():
             if value is not None:
--- a/juniperreel/raft/configuration/state_machine.py
+++ b/juniperreel/raft/configuration/state_machine.py
@@ -1,7 +1,7 @@
-"""The state machine: commands in the order of the log, versions out. Deterministic and free of I/O.
+"""The state machine: applies commands in log order to produce versions. Deterministic, no I/O.
 
-A command names the version that it was made against, where its author wants that (compare and set), and its
-client's sequence number, so that a retry after a lost response is applied once (dissertation, 6.3).
+A command may name the version that it expects to be in force (compare-and-set). It carries its client's
+sequence number, so that a retry after a lost response is applied only once (dissertation, 6.3).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from juniperreel.raft.errors import CommandRejectedError, UnknownNameError
 
 MAX_CLIENTS = 1000
-MAX_HISTORY = 64  # versions kept for deltas to watchers
+MAX_HISTORY = 64  # versions retained for deltas to watchers
 MAX_REPORTED_VIOLATIONS = 10
 
 Key = TypeVar("Key", str, int)
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a command: the version in force after it, and why it was rejected, if it was."""
+    """Outcome of a command: the version in force after it, and the reason if it was rejected."""
 
     version: int
     rejection: str = ""
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """What a watcher needs to hold the version in force: all of it if `complete`, otherwise a delta."""
+    """Update of a watcher to the version in force: the whole version if `complete`, otherwise a delta."""
 
     complete: bool
     data: bytes
 
 
 def apply_change(configuration: Configuration, change: ConfigurationChange) -> Configuration:
-    """The configuration after one change, not validated. Raises UnknownNameError."""
+    """Apply one change without validating the result. Raises UnknownNameError."""
     replace = msgspec.structs.replace
     members = configuration.members
     groups = configuration.groups
@@ -70,42 +70,44 @@
         case SetMember(name, member):
             return replace(configuration, members=members.set(name, member))
         case SetState(name, state, started_us):
-            member = _existing(members, name, "member")
+            member = _require_existing(members, name, "member")
             member = replace(member, state=state, started_us=max(started_us, member.started_us))
             return replace(configuration, members=members.set(name, member))
         case RemoveMember(name):
-            _existing(members, name, "member")
+            _require_existing(members, name, "member")
             return replace(configuration, members=members.delete(name))
         case SetGroup(number, group):
             return replace(configuration, groups=groups.set(number, group))
         case RemoveGroup(number):
-            _existing(groups, number, "group")
+            _require_existing(groups, number, "group")
             return replace(configuration, groups=groups.delete(number))
         case SetClass(name, info):
-            return replace(configuration, classes=_with(configuration.classes, name, info, "class"))
+            return replace(configuration, classes=_set_or_remove(configuration.classes, name, info, "class"))
         case SetTenant(name, tenant):
-            return replace(configuration, tenants=_with(configuration.tenants, name, tenant, "tenant"))
+            return replace(
+                configuration, tenants=_set_or_remove(configuration.tenants, name, tenant, "tenant")
+            )
         case SetLimit(name, value):
-            return replace(configuration, limits=_with(configuration.limits, name, value, "limit"))
+            return replace(configuration, limits=_set_or_remove(configuration.limits, name, value, "limit"))
 
 
-def _existing(section: Map[Key, Value], key: Key, kind: str) -> Value:
-    """The value of a key. Raises UnknownNameError if it is not there."""
+def _require_existing(section: Map[Key, Value], key: Key, kind: str) -> Value:
+    """The value of a key. Raises UnknownNameError if the key does not exist."""
     if key not in section:
         raise UnknownNameError(kind, key)
     return section[key]
 
 
-def _with(section: Map[Key, Value], key: Key, value: Value | None, kind: str) -> Map[Key, Value]:
-    """The section with a key set, or without it for None. Raises UnknownNameError."""
+def _set_or_remove(section: Map[Key, Value], key: Key, value: Value | None, kind: str) -> Map[Key, Value]:
+    """Set a key, or remove it if the value is None. Raises UnknownNameError on removal of an unknown key."""
     if value is not None:
         return section.set(key, value)
-    _existing(section, key, kind)
+    _require_existing(section, key, kind)
     return section.delete(key)
 
 
-def validated(configuration: Configuration, command: Command) -> Configuration:
-    """The next version; the same on every node. Raises CommandRejectedError."""
+def next_version(configuration: Configuration, command: Command) -> Configuration:
+    """Apply a command and validate the result; deterministic. Raises CommandRejectedError."""
     expected_version = command.expected_version
     if expected_version is not None and expected_version != configuration.version:
         reason = f"made against version {expected_version}; version {configuration.version} is in force"
@@ -121,7 +123,7 @@
 
 
 class ConfigurationStateMachine:
-    """Applies commands, and keeps some versions for deltas.
+    """Applies commands, and retains recent versions for deltas.
 
     Attributes:
         current: The version in force.
@@ -133,7 +135,7 @@
         self._history: OrderedDict[int, Configuration] = OrderedDict({0: EMPTY})
 
     def previous_outcome(self, command: Command) -> Outcome | None:
-        """The outcome of this command if it was applied before, a rejection for an older one, else None."""
+        """The recorded outcome of a retried command, a rejection of an older one, or None for a new one."""
         session = self.current.clients.get(command.client)
         if session is None or command.sequence > session.sequence:
             return None
@@ -143,9 +145,9 @@
         return Outcome(session.version, session.rejection)
 
     def rejection_of(self, command: Command) -> str:
-        """Why the command would be rejected now; empty if it would not be."""
+        """The reason why a command would be rejected now; empty if it is valid."""
         try:
-            validated(self.current, command)
+            next_version(self.current, command)
         except CommandRejectedError as error:
             return error.reason
         return ""
@@ -155,7 +157,7 @@
         try:
             command = decode_command(data)
         except ValueError as error:
-            # A program of another version accepted it into the log; every node skips it.
+            # A node running another version accepted it into the log; every node skips it.
             return Outcome(self.current.version, str(error))
         previous = self.previous_outcome(command)
         if previous is not None:
@@ -163,42 +165,42 @@
         rejection = ""
         configuration = self.current
         try:
-            configuration = validated(configuration, command)
+            configuration = next_version(configuration, command)
         except CommandRejectedError as error:
             rejection = error.reason
         outcome = Outcome(configuration.version, rejection)
         session = ClientSession(command.sequence, outcome.version, rejection)
-        clients = _with_session(configuration.clients, command.client, session)
+        clients = _set_session(configuration.clients, command.client, session)
         self.current = msgspec.structs.replace(configuration, clients=clients)
-        self._remember_version()
+        self._record_version()
         return outcome
 
-    def _remember_version(self) -> None:
+    def _record_version(self) -> None:
         self._history[self.current.version] = self.current
         while len(self._history) > MAX_HISTORY:
             self._history.popitem(last=False)
 
     def update_since(self, version: int) -> ConfigurationUpdate:
-        """What a watcher that holds `version` needs to hold the version in force."""
+        """The update from `version` to the version in force."""
         old = self._history.get(version)
         if old is None:
             return ConfigurationUpdate(complete=True, data=encode(self.current, clients=False))
         return ConfigurationUpdate(complete=False, data=encode_delta(old, self.current))
 
     def snapshot(self) -> bytes:
-        """The state as bytes, the same on every node."""
+        """Encode the state deterministically."""
         return encode(self.current, clients=True)
 
     def restore(self, data: bytes) -> None:
-        """Start again from a snapshot; empty bytes are version 0. Raises MalformedDataError."""
+        """Restore the state from a snapshot; empty data is version 0. Raises MalformedDataError."""
         self.current = decode(data) if data else EMPTY
         self._history = OrderedDict({self.current.version: self.current})
 
 
-def _with_session(
+def _set_session(
     clients: Map[str, ClientSession], name: str, session: ClientSession
 ) -> Map[str, ClientSession]:
-    """The sessions with one set. Past the limit the one of the oldest version, first by name, is dropped."""
+    """Set a session. Beyond `MAX_CLIENTS`, evict the one with the oldest version, ties by name."""
     clients = clients.set(name, session)
     if len(clients) > MAX_CLIENTS:
         others = ((other.version, other_name) for other_name, other in clients.items() if other_name != name)
--- a/juniperreel/raft/configuration/validation.py
+++ b/juniperreel/raft/configuration/validation.py
@@ -1,6 +1,7 @@
-"""What a version must satisfy, with the rule that it would break otherwise. Free of I/O.
+"""Validation of configuration versions; messages name the rule that is violated. No I/O.
 
-Checked when a change is proposed and again when it is applied: in between another one may have come first.
+Versions are validated when a command is proposed and again when it is applied, since another command may
+have been applied in between.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 MAX_CLASSES = 256
 MAX_NAME = 100
 MAX_PORT = 65535
-MAX_SIZE = 1e6  # of a member, relative to the others; not itself allowed
-MAX_SHARES = 1.0005  # shares that add up to 1 may exceed it by their rounding
-NAME_EXCERPT = 20  # characters of a bad name that are shown
+MAX_SIZE = 1e6  # exclusive; size of a member relative to the others
+MAX_SHARES = 1.0005  # tolerates the rounding of shares that add up to 1
+MAX_QUOTED_CHARS = 20  # of an invalid name in a message
 
 
 class LimitRule(NamedTuple):
-    """The least value of a limit, and the number of the rule that asks for it."""
+    """The minimum value of a limit, and the number of the rule that requires it."""
 
-    least: int
+    minimum: int
     rule: int
 
 
@@ -50,7 +51,7 @@
 
 
 def find_violations(configuration: Configuration) -> list[str]:
-    """Everything that is wrong with a version, in words; empty if nothing is."""
+    """All violations in a version, as messages; empty if it is valid."""
     return sorted(
         [
             *_size_violations(configuration),
@@ -79,7 +80,7 @@
 
 def _member_violations(configuration: Configuration, name: str, member: MemberInfo) -> Iterator[str]:
     if not name or len(name) > MAX_NAME:
-        yield f"member {name[:NAME_EXCERPT]!r}: a name has 1 to {MAX_NAME} characters"
+        yield f"member {name[:MAX_QUOTED_CHARS]!r}: a name has 1 to {MAX_NAME} characters"
     if member.state not in MEMBER_STATES:
         yield f"member {name}: {member.state!r} is none of {', '.join(MEMBER_STATES)} (rule 3)"
     if (
@@ -142,12 +143,12 @@
         limit = LIMITS.get(name)
         if limit is None:
             yield f"limit {name}: there are {', '.join(LIMITS)}"
-        elif value < limit.least:
-            yield f"limit {name}: at least {limit.least} (rule {limit.rule})"
+        elif value < limit.minimum:
+            yield f"limit {name}: at least {limit.minimum} (rule {limit.rule})"
 
 
 def find_transition_violations(old: Configuration, new: Configuration) -> list[str]:
-    """What must not happen from one version to the next, whatever both are alone; empty if nothing does."""
+    """All violations in the transition from one version to the next; empty if it is valid."""
     violations: list[str] = []
     for number, before in old.groups.items():
         violations += _group_transition_violations(old, new, number, before)
@@ -175,6 +176,6 @@
         if before.state != MEMBER_DEPARTED:
             yield f"member {name}: {before.state} members drain and go before they are removed (rule 3)"
         return
-    came_back = before.state == MEMBER_DEPARTED and after.state != MEMBER_DEPARTED
-    if came_back and after.started_us <= before.started_us:
+    rejoined = before.state == MEMBER_DEPARTED and after.state != MEMBER_DEPARTED
+    if rejoined and after.started_us <= before.started_us:
         yield f"member {name}: comes back without a newer start, as if it were warm (rule 4)"
