--- a/juniperreel/raft/append_receiver.py
+++ b/juniperreel/raft/append_receiver.py
@@ -1,4 +1,4 @@
-"""The follower's side of log replication: takes a leader's entries into the log."""
+"""Follower side of log replication: appends the leader's entries to the log."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class AppendReceiver:
-    """Answers AppendEntries of the current leader.
+    """Handles AppendEntries from the current leader.
 
     Invariant: a committed entry is never truncated.
     """
 
     def __init__(self, state: NodeState, unstable: UnstableState) -> None:
-        """Changes the log in `state`, and notes in `unstable` what must be written anew."""
+        """Modifies the log in `state` and tells `unstable` which entries must be rewritten."""
         self._state = state
         self._unstable = unstable
 
     def on_append_entries(self, message: AppendEntries) -> None:
-        """Append what is new, truncate what conflicts, and follow the leader's commit index."""
+        """Append new entries, truncate conflicting ones, and advance the commit index."""
         state = self._state
         prev_term = state.log.term_at(message.prev_index)
         if prev_term is None and message.prev_index < state.commit_index:
-            # What comes before was compacted here, so it is committed and matches.
+            # Entries up to the snapshot are committed, so they match the leader's log.
             self._accept(message, state.commit_index)
             return
         if prev_term != message.prev_term:
@@ -50,7 +50,7 @@
     def _truncate(self, start: int) -> None:
         state = self._state
         if start <= state.commit_index:
-            raise SafetyViolationError(state.name, f"committed entry {start} would be cut off")
+            raise SafetyViolationError(state.name, f"committed entry {start} would be truncated")
         state.log.truncate(start)
         state.memberships.truncate(start)
         self._unstable.truncate(start)
--- a/juniperreel/raft/client.py
+++ b/juniperreel/raft/client.py
@@ -1,4 +1,4 @@
-"""A client of the instances: finds the leader in a bounded number of attempts, watches any live instance."""
+"""Client of the configuration cluster: calls the leader with bounded retries, watches any live instance."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 ERROR_DOMAIN = "configuration.juniperreel"
 CALL_TIMEOUT_US = 2_000_000
 CONNECT_TIMEOUT_US = 500_000
-RETRY_PAUSE_S = (0.05, 0.25)  # each pause is drawn from between these
-WATCH_TIMEOUT_S = 4.0  # without even a heartbeat
+RETRY_PAUSE_S = (0.05, 0.25)  # minimum and maximum of the random pause
+WATCH_TIMEOUT_S = 4.0  # without any message, including heartbeats
 MAX_LEADERLESS_MESSAGES = 2
 DEFAULT_ATTEMPTS = 30
 CALL_FAILURES = (ConnectError, CallUnprocessedError, CallInterruptedError, RpcError, DecodeError)
@@ -42,7 +42,7 @@
 
 
 class ConfigurationClient:
-    """Calls on any of the instances; `run` must be running.
+    """Calls the instances of a cluster; `run` must be running.
 
     Attributes:
         addresses: Host and port of each instance.
@@ -51,17 +51,17 @@
     def __init__(
         self, network: Network, clock: Clock, rng: random.Random, addresses: Sequence[Address]
     ) -> None:
-        """Which instance is called first, and how long pauses are, is drawn from `rng`."""
+        """`rng` selects the instances to call and the pauses between attempts."""
         self.addresses = list(addresses)
         self._rng = rng
         self._network = network
         self._clock = clock
         self._channels: dict[Address, Channel] = {}
-        self._last_leader: Address | None = None  # who answered as the leader last
+        self._last_leader: Address | None = None  # the last instance that responded as the leader
         self._nursery: trio.Nursery | None = None
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Hold the connections until cancelled."""
+        """Run the connections until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             await trio.sleep_forever()
@@ -78,9 +78,9 @@
         return channel
 
     async def call(self, address: Address, method: str, request: bytes) -> bytes:
-        """Call one instance once.
+        """Call one instance, without retries.
 
-        Raises trio.TooSlowError if it does not answer in time, and RpcError or another of `CALL_FAILURES`.
+        Raises trio.TooSlowError if it does not respond in time, otherwise one of `CALL_FAILURES`.
         """
         channel = await self._channel(address)
         with trio.fail_after(CALL_TIMEOUT_US / US):
@@ -88,10 +88,10 @@
             return reply.message
 
     async def call_leader(self, method: str, request: bytes, attempts: int = DEFAULT_ATTEMPTS) -> bytes:
-        """Call the leader, whichever instance that is.
+        """Find and call the leader.
 
-        The request must be idempotent: the response to an earlier attempt may have been lost. Raises
-        LeaderUnreachableError, or RpcError where every instance would say the same.
+        The request must be idempotent, since the response to an earlier attempt may have been lost. Raises
+        LeaderUnreachableError, or RpcError if a retry cannot succeed.
         """
         address = self._last_leader or self._rng.choice(self.addresses)
         failure = ""
@@ -100,19 +100,19 @@
             try:
                 response = await self.call(address, method, request)
             except trio.TooSlowError:
-                failure = f"{address[0]}:{address[1]} does not answer"
+                failure = f"{address[0]}:{address[1]} did not respond in time"
             except RpcError as error:
-                if not _may_differ_elsewhere(error):
+                if not _is_retriable(error):
                     raise
                 failure = error.message
-                leader = _named_leader(error)
+                leader = _leader_address(error)
             except CALL_FAILURES as error:
                 failure = str(error)
             else:
                 self._last_leader = address
                 return response
             if leader is not None and leader != address:
-                address = leader  # called at once
+                address = leader  # without a pause
                 continue
             address = self._rng.choice(self.addresses)
             await self._pause()
@@ -122,19 +122,19 @@
         await trio.sleep(self._rng.uniform(*RETRY_PAUSE_S))
 
     async def propose(self, command: Command, attempts: int = DEFAULT_ATTEMPTS) -> Outcome:
-        """Have a command applied, once, however many attempts it takes. Raises as `call_leader` does."""
+        """Apply a command exactly once, across retries. Raises the errors of `call_leader`."""
         request = pb.ProposeRequest(command=encode_command(command)).SerializeToString()
         response = pb.ProposeResponse.FromString(await self.call_leader("Propose", request, attempts))
         return Outcome(response.version, response.refusal)
 
     async def get(self) -> Configuration:
-        """The newest version, linearizable. Raises as `call_leader` does."""
+        """The latest version, by a linearizable read. Raises the errors of `call_leader`."""
         request = pb.GetRequest(linearizable=True).SerializeToString()
         response = pb.GetResponse.FromString(await self.call_leader("Get", request))
         return model.decode(response.configuration)
 
     async def status(self, address: Address) -> pb.StatusResponse:
-        """What one instance says of itself. Raises as `call` does."""
+        """The status of one instance. Raises the errors of `call`."""
         return pb.StatusResponse.FromString(await self.call(address, "Status", b""))
 
     async def watch(
@@ -145,17 +145,17 @@
         on_failure: Callable[[str], None] | None = None,
         on_alive: Callable[[], None] | None = None,
     ) -> None:
-        """Watch for versions newer than `known`, for ever.
+        """Watch for versions newer than `known` until cancelled.
 
-        There is one stream at a time; when it fails, falls silent or its instance has no leader, another
-        instance is asked. Versions never go back.
+        One stream is open at a time. When it fails or times out, or its instance has no leader, a stream to a
+        randomly chosen instance is opened. Versions never decrease.
 
         Args:
-            watcher: The name that the instances know this watcher by.
-            known: The newest version that the watcher holds.
+            watcher: Name of the watcher, as sent to the instances.
+            known: The latest version that the watcher has.
             on_version: Called with every newer version.
-            on_failure: Called with what became of a stream, if given.
-            on_alive: Called for every message of an instance that has a leader, if given.
+            on_failure: Called with a description of each failed stream, if given.
+            on_alive: Called for every message from an instance that knows a leader, if given.
         """
         watch = _Watch(watcher, known, on_version, on_alive)
         while True:
@@ -168,7 +168,7 @@
             await self._pause()
 
     async def _watch_one(self, address: Address, watch: _Watch) -> None:
-        """Read one stream until it fails, falls silent, or its instance seems to be partitioned."""
+        """Read one stream until it fails or times out, or its instance seems to be partitioned."""
         channel = await self._channel(address)
         leaderless_messages = 0
         with trio.CancelScope() as scope:
@@ -180,11 +180,11 @@
                     leaderless_messages = 0 if response.leader else leaderless_messages + 1
                     watch.on_response(response)
                     if leaderless_messages > MAX_LEADERLESS_MESSAGES and len(self.addresses) > 1:
-                        return  # without a quorum: another instance may know more
+                        return  # its instance is likely partitioned from the quorum
 
 
 class _Watch:
-    """What a watcher knows, over all streams: an instance that lags must not take it back."""
+    """State of a watch across streams, so that a lagging instance cannot revert it to an older version."""
 
     def __init__(
         self,
@@ -199,13 +199,13 @@
         self._on_alive = on_alive
 
     def request(self) -> bytes:
-        """The request for a stream that goes on from the newest version known."""
+        """The request for a stream of versions newer than the latest known one."""
         request = pb.WatchRequest(watcher=self._watcher, since=self._newest.version)
         serialized: bytes = request.SerializeToString()
         return serialized
 
     def on_response(self, response: pb.WatchResponse) -> None:
-        """Take one message of a stream. Raises MalformedDataError."""
+        """Process one message of a stream. Raises MalformedDataError."""
         if response.leader and self._on_alive is not None:
             self._on_alive()
         if response.beat:
@@ -219,15 +219,15 @@
             self._on_version(configuration)
 
 
-def _may_differ_elsewhere(error: RpcError) -> bool:
-    """Whether another instance, or the same one later, may answer otherwise."""
+def _is_retriable(error: RpcError) -> bool:
+    """Whether a retry, on the same or another instance, may succeed."""
     if error.code is Code.FAILED_PRECONDITION:
         return bool(error.reason(ERROR_DOMAIN))
     return error.code in RETRIABLE_CODES
 
 
-def _named_leader(error: RpcError) -> Address | None:
-    """The leader's address, if the instance that answered knows the leader."""
+def _leader_address(error: RpcError) -> Address | None:
+    """The leader's address, if the error details contain it."""
     for detail in error.details:
         leader = getattr(detail, "metadata", {}).get("leader", "")
         if leader:
--- a/juniperreel/raft/config.py
+++ b/juniperreel/raft/config.py
@@ -10,16 +10,18 @@
     """Limits and timing of one node. Durations are in ticks, sizes in bytes.
 
     Attributes:
-        election_ticks: Least election timeout; each one is drawn from this to twice this.
-        heartbeat_ticks: Time between a leader's heartbeats.
-        max_entries_per_append: Entries in one AppendEntries message.
-        max_bytes_per_append: Bytes of entries in one AppendEntries message, unless its first entry is larger.
-        max_inflight_appends: Messages sent to one follower and not yet answered.
-        max_uncommitted_bytes: Bytes of entries that may wait to be committed.
-        snapshot_chunk_bytes: Bytes of a snapshot in one message.
-        max_snapshot_bytes: Largest snapshot that a follower accepts.
-        trailing_entries: Entries kept behind a snapshot for followers that lag a little.
-        max_promotion_lag: Entries that a learner may lack when it is promoted to a voter.
+        election_ticks: Minimum election timeout; each timeout is drawn from [this, 2 * this).
+        heartbeat_ticks: Interval between a leader's heartbeats.
+        max_entries_per_append: Maximum number of entries in one AppendEntries message.
+        max_bytes_per_append: Maximum size of the entries in one AppendEntries message; a single larger entry
+            is sent on its own.
+        max_inflight_appends: Maximum number of unacknowledged AppendEntries messages per follower.
+        max_uncommitted_bytes: Maximum size of the uncommitted entries; further proposals are rejected.
+        snapshot_chunk_bytes: Maximum size of the snapshot data in one message.
+        max_snapshot_bytes: Maximum size of a snapshot that a follower accepts.
+        trailing_entries: Entries retained behind a snapshot, so that slightly lagging followers do not need
+            the snapshot.
+        max_promotion_lag: Maximum number of committed entries that a learner may lack when it is promoted.
     """
 
     election_ticks: int = 10
--- a/juniperreel/raft/core.py
+++ b/juniperreel/raft/core.py
@@ -1,18 +1,18 @@
-"""The Raft state machine: messages, ticks and requests in, a `Ready` out. No I/O, no clock, no threads.
+"""The Raft state machine: messages, ticks and requests in, a `Ready` out. No I/O, clock or threads.
 
-`RaftCore` owns the transitions between the roles and passes each event to the part that decides on it:
+`RaftCore` owns the role transitions and dispatches each event to the component that handles it:
 
-    election.py             timer, votes
-    replication.py          what a leader sends its followers, and what that commits
-    append_receiver.py      what a follower takes from its leader
-    snapshot_receiver.py    the same for snapshots
+    election.py             election timer, votes
+    replication.py          leader side of log replication, commit index
+    append_receiver.py      follower side of log replication
+    snapshot_receiver.py    follower side of snapshot transfer
     read_index.py           linearizable reads
-    leadership_transfer.py  handing over the leadership
-    membership.py           changes of membership
-    unstable.py             what must be written to disk next
+    leadership_transfer.py  leadership transfer
+    membership.py           membership changes
+    unstable.py             state not yet handed out for persistence
 
-All randomness comes from the source handed in, so that the same inputs give the same outputs. The core never
-acts on what is not on disk; see `Ready`.
+All randomness comes from the generator passed in, so the core is deterministic. Messages and committed
+entries depend only on state that the caller has persisted first; see `Ready`.
 """
 
 from __future__ import annotations
@@ -61,12 +61,13 @@
 
 
 class RaftCore:
-    """One node.
+    """One Raft node.
 
-    Call `step`, `tick` and the requests; while `has_ready`, take a `Ready` and carry it out in its order.
+    Callers drive it with `step`, `tick` and the request methods. While `has_ready()` is true, they take a
+    `Ready` and process it in the order documented there.
     """
 
-    # The classes of the parts, so that tests can plant a fault in one of them.
+    # Component classes; tests override them to inject bugs.
     election_class: type[Election] = Election
     replication_class: type[Replication] = Replication
     append_receiver_class: type[AppendReceiver] = AppendReceiver
@@ -74,7 +75,7 @@
     read_index_class: type[ReadIndex] = ReadIndex
 
     def __init__(self, name: str, recovered: RecoveredState, config: RaftConfig, rng: random.Random) -> None:
-        """Starts as a follower with what the storage of `name` held."""
+        """Starts node `name` as a follower from its recovered state."""
         self.state = NodeState.recover(name, recovered, config)
         self._unstable = UnstableState(self.state, recovered.hard_state)
         self._election = self.election_class(self.state, rng)
@@ -84,7 +85,7 @@
         self._reads = self.read_index_class(self.state, self._replication)
         self._transfer = LeadershipTransfer(self.state, self._replication)
 
-    # What others may see.
+    # Observable state.
 
     @property
     def name(self) -> str:
@@ -93,22 +94,22 @@
 
     @property
     def term(self) -> int:
-        """The newest term that the node knows of."""
+        """The current term."""
         return self.state.term
 
     @property
     def role(self) -> Role:
-        """What the node is in its term."""
+        """The node's role in the current term."""
         return self.state.role
 
     @property
     def leader(self) -> str | None:
-        """The leader of the term, if known."""
+        """The leader of the current term, if known."""
         return self.state.leader
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads its term."""
+        """Whether this node is the leader of the current term."""
         return self.state.is_leader
 
     @property
@@ -118,22 +119,22 @@
 
     @property
     def log(self) -> RaftLog:
-        """The entries in memory; not to be changed from outside."""
+        """The in-memory log; callers must not modify it."""
         return self.state.log
 
     @property
     def snapshot(self) -> Snapshot:
-        """The newest snapshot, taken here or installed."""
+        """The latest snapshot, taken locally or installed from the leader."""
         return self.state.snapshot
 
     @property
     def commit_index(self) -> int:
-        """The last entry known to be committed."""
+        """Index of the last entry known to be committed."""
         return self.state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """The last entry handed out to be applied."""
+        """Index of the last entry handed out for application."""
         return self.state.applied_index
 
     @property
@@ -142,7 +143,7 @@
         return self._replication.has_committed_in_term
 
     def status(self) -> RaftStatus:
-        """The node's view of itself and its group, for operators."""
+        """The node's status as shown to operators."""
         return RaftStatus(
             name=self.name,
             role=self.role,
@@ -156,10 +157,10 @@
             match_indexes=self._replication.match_indexes(),
         )
 
-    # Time.
+    # Clock.
 
     def tick(self) -> None:
-        """One unit of time has passed."""
+        """Advance the node's logical clock by one tick."""
         self._election.elapsed_ticks += 1
         if self.is_leader:
             self._tick_leader()
@@ -169,9 +170,9 @@
     def _tick_leader(self) -> None:
         if self._election.elapsed_ticks >= self.state.config.election_ticks:
             self._election.elapsed_ticks = 0
-            self._transfer.abort()  # the target did not win an election in time
+            self._transfer.abort()  # the target did not win an election within the timeout
             if not self._replication.check_quorum():
-                # It may have been replaced without hearing of it.
+                # Without a quorum, another leader may have been elected unnoticed.
                 self._become_follower(self.term, None)
                 return
         if self._replication.heartbeat_due():
@@ -185,12 +186,12 @@
             state.term = term
             state.vote = None
         if state.is_leader:
-            self._reads.abandon()
+            self._reads.fail_all()
             self._transfer.abort()
         state.role = Role.FOLLOWER
         state.leader = leader
         self._replication.stop()
-        self._election.end()
+        self._election.reset()
 
     def _campaign(self, *, pre_vote: bool, leadership_transfer: bool = False) -> None:
         result = self._election.start(pre_vote, leadership_transfer)
@@ -218,7 +219,7 @@
             raise RequestRejectedError(TRANSFER_IN_PROGRESS)
 
     def propose(self, data: bytes) -> LogPosition:
-        """Append a command to the log, and return where it stands.
+        """Append a command to the log and return its position.
 
         Raises NotLeaderError or RequestRejectedError.
         """
@@ -232,11 +233,11 @@
         return LogPosition(entry.term, entry.index)
 
     def change_membership(self, change: MembershipChange, name: str) -> LogPosition:
-        """Make one step of membership. Raises NotLeaderError or RequestRejectedError.
+        """Propose a single-server membership change. Raises NotLeaderError or RequestRejectedError.
 
-        A change waits until the leader has committed an entry of its term. Otherwise it could overlap with a
-        change of an earlier leader that this one does not know of, and two quorums without a common voter
-        could commit different entries (the error in the dissertation's 4.1, reported by Ongaro in 2015).
+        A change is rejected until the leader has committed an entry of its term. Otherwise it could overlap
+        with a change by an earlier leader that this one does not know of, and two disjoint quorums could
+        commit different entries (the bug in section 4.1 of the dissertation, reported by Ongaro in 2015).
         """
         self._require_leadership()
         if not self.has_committed_in_term:
@@ -259,7 +260,7 @@
         return LogPosition(entry.term, entry.index)
 
     def transfer_leadership(self, target: str) -> None:
-        """Hand the leadership to a voter once it holds all of the log.
+        """Transfer the leadership to a voter once its log is up to date.
 
         Raises NotLeaderError or RequestRejectedError.
         """
@@ -268,7 +269,7 @@
         self._election.elapsed_ticks = 0
 
     def read_index(self, context: int) -> None:
-        """Begin a linearizable read; a `Ready` names `context` with the index to wait for.
+        """Start a linearizable read; a later `Ready` returns `context` with the index that must be applied.
 
         Raises NotLeaderError or RequestRejectedError.
         """
@@ -276,14 +277,14 @@
         self._reads.request(context)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Take the state machine's snapshot after `index`, and drop the entries far behind it.
+        """Record a state machine snapshot at `index` and compact the log, retaining `trailing_entries`.
 
-        Raises LogIndexError where `index` is not applied yet or not newer than the last snapshot.
+        Raises LogIndexError if `index` is not applied yet or not newer than the last snapshot.
         """
         state = self.state
         if not state.snapshot.index < index <= state.applied_index:
             raise LogIndexError(
-                index, f"a snapshot is taken between {state.snapshot.index} and {state.applied_index}"
+                index, f"snapshot index must be in ({state.snapshot.index}, {state.applied_index}]"
             )
         term = state.log.term_at(index)
         assert term is not None
@@ -295,22 +296,22 @@
     # Messages.
 
     def step(self, message: Message) -> None:
-        """Take one message. Whatever does not concern this node now is dropped."""
+        """Process one message. Messages that do not apply to this node or its current term are dropped."""
         if message.dst != self.name:
             return
         if message.term < self.term:
-            self._answer_stale_message(message)
+            self._reply_to_stale_message(message)
             return
         if message.term > self.term and not self._adopt_term(message):
             return
         self._dispatch(message)
 
     def _adopt_term(self, message: Message) -> bool:
-        """Follow a message into its newer term if need be. Returns False where it must be dropped."""
+        """Adopt the newer term of a message where Raft requires it. Returns False if it must be dropped."""
         if isinstance(message, VoteRequest):
             if not message.leadership_transfer and self._election.has_recent_leader():
-                # Otherwise a node that was removed or partitioned would end a leadership that works: its
-                # timer runs out again and again, and its terms are always newer.
+                # Otherwise a removed or partitioned node, whose election timer keeps expiring and whose term
+                # keeps growing, would depose a working leader.
                 return False
             if not message.pre_vote:
                 self._become_follower(message.term, None)
@@ -319,8 +320,8 @@
             self._become_follower(message.term, message.src if from_leader else None)
         return True
 
-    def _answer_stale_message(self, message: Message) -> None:
-        """Tell the sender of an older term that there is a newer one."""
+    def _reply_to_stale_message(self, message: Message) -> None:
+        """Inform the sender of a message with an older term of the current term."""
         state = self.state
         if isinstance(message, AppendEntries | SnapshotChunk):
             last_index = state.log.last_index
@@ -339,12 +340,12 @@
             case VoteReply():
                 self._on_vote_reply(message)
             case AppendEntries():
-                self._accept_leader(message.src)
+                self._follow_leader(message.src)
                 self._append_receiver.on_append_entries(message)
             case AppendEntriesReply():
                 self._on_append_reply(message)
             case SnapshotChunk():
-                self._accept_leader(message.src)
+                self._follow_leader(message.src)
                 self._snapshot_receiver.on_chunk(message)
             case SnapshotReply():
                 self._replication.on_snapshot_reply(message)
@@ -352,8 +353,8 @@
                 if self.state.is_voter and not self.is_leader:
                     self._campaign(pre_vote=False, leadership_transfer=True)
 
-    def _accept_leader(self, name: str) -> None:
-        """Follow the node that leads this term."""
+    def _follow_leader(self, name: str) -> None:
+        """Follow the leader of the current term."""
         if self.is_leader:
             raise SafetyViolationError(self.name, f"two leaders in term {self.term}: {self.name} and {name}")
         if self.role is not Role.FOLLOWER:
@@ -383,7 +384,7 @@
             return
         if self._replication.on_accepted(progress, reply):
             self._advance_commit()
-        if self.is_leader:  # it is not, if that commit removed it from the group
+        if self.is_leader:  # the commit may have removed this node from the group
             self._replication.send_to(reply.src)
             self._transfer.on_progress(reply.src)
 
@@ -393,12 +394,12 @@
         self._reads.on_commit()
         self._replication.broadcast_commit()
         if self.state.memberships.index <= self.commit_index and not self.state.is_voter:
-            self._become_follower(self.term, None)  # it removed itself (dissertation, 4.2.2)
+            self._become_follower(self.term, None)  # the leader removed itself (dissertation, 4.2.2)
 
-    # What is to be done.
+    # Output.
 
     def has_ready(self) -> bool:
-        """Whether there is anything to be done."""
+        """Whether `take_ready` would return any work."""
         state = self.state
         return bool(
             state.outbox
@@ -409,7 +410,7 @@
         )
 
     def take_ready(self) -> Ready:
-        """All that is to be done now. Persist it, call `mark_persisted`, then send and apply."""
+        """Take the pending output: persist it, call `mark_persisted`, then send and apply the rest."""
         ready = Ready(
             persist=self._unstable.take_batch(),
             messages=self.state.outbox,
@@ -430,7 +431,7 @@
         return committed
 
     def mark_persisted(self, ready: Ready) -> None:
-        """Note that `ready.persist` is on disk: now this node's own copy counts for commits."""
+        """Record that `ready.persist` is durable, so that this node's own copy counts towards a quorum."""
         if ready.persist.entries:
             last = ready.persist.entries[-1]
             if self.log.term_at(last.index) == last.term:
--- a/juniperreel/raft/election.py
+++ b/juniperreel/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: the timer, the votes given and the votes counted."""
+"""Leader election: the election timer, granting votes and counting them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class VoteResult(Enum):
-    """How an election stands."""
+    """The state of an election."""
 
     PENDING = "pending"
     WON = "won"
@@ -19,14 +19,12 @@
 
 
 class Election:
-    """Decides when to stand for election and whom to vote for, and counts votes.
+    """Starts elections, grants votes and counts them.
 
-    Owns the election timer and the votes received. Random draws come from the source handed in: one for each
-    election timeout.
+    Owns the election timer and the votes received. Each election timeout takes one draw from `rng`.
 
     Attributes:
-        elapsed_ticks: Ticks since the leader was last heard from; on a leader, since it last checked its
-        quorum.
+        elapsed_ticks: Ticks since the last message from the leader; on a leader, since the last quorum check.
     """
 
     def __init__(self, state: NodeState, rng: random.Random) -> None:
@@ -39,9 +37,9 @@
         self.reset_timer()
 
     def reset_timer(self) -> None:
-        """Start the timer again with a new timeout.
+        """Restart the timer with a new random timeout.
 
-        Timeouts are random so that followers that lost a leader together do not split the votes.
+        Timeouts are randomized so that followers that lose the leader at the same time do not split the vote.
         """
         election_ticks = self._state.config.election_ticks
         self.elapsed_ticks = 0
@@ -49,25 +47,25 @@
 
     @property
     def timed_out(self) -> bool:
-        """Whether the leader was silent for the whole election timeout."""
+        """Whether the election timeout has expired without a message from the leader."""
         return self.elapsed_ticks >= self._timeout_ticks
 
     def has_recent_leader(self) -> bool:
-        """Whether a leader was heard from within the least election timeout (dissertation, 4.2.3)."""
+        """Whether a leader was heard from within the minimum election timeout (dissertation, 4.2.3)."""
         if self._state.is_leader:
             return True
         return self._state.leader is not None and self.elapsed_ticks < self._state.config.election_ticks
 
-    def end(self) -> None:
-        """Forget the votes and start the timer again, as a follower does."""
+    def reset(self) -> None:
+        """Discard the votes received and restart the timer, on becoming a follower."""
         self._votes = {}
         self.reset_timer()
 
     def start(self, pre_vote: bool, leadership_transfer: bool) -> VoteResult:
-        """Stand for election, or ask in a pre-vote whether it could be won.
+        """Start an election, or a pre-vote that tests whether one could be won.
 
-        A pre-vote adopts no new term, so that a node that was partitioned comes back without ending a
-        leadership that works (dissertation, 9.6). Returns WON where no other vote is needed.
+        A pre-vote does not increment the term, so that a node can rejoin after a partition without deposing a
+        working leader (dissertation, 9.6). Returns WON if this node's own vote is a quorum.
         """
         state = self._state
         state.leader = None
@@ -111,7 +109,7 @@
         return VoteResult.PENDING
 
     def on_vote_request(self, request: VoteRequest) -> None:
-        """Answer a request of the current term, or a pre-vote for a later one."""
+        """Reply to a vote request of the current term, or to a pre-vote for a later one."""
         state = self._state
         candidate_log = (request.last_term, request.last_index)
         up_to_date = candidate_log >= (state.log.last_term, state.log.last_index)
@@ -130,7 +128,7 @@
         return self._state.vote == request.src
 
     def on_vote_reply(self, reply: VoteReply) -> VoteResult:
-        """Count a vote. Replies to another election than the one under way leave it PENDING."""
+        """Count a vote. Replies that belong to a different election are ignored and return PENDING."""
         expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
         if self._state.role is not expected_role:
             return VoteResult.PENDING
--- a/juniperreel/raft/errors.py
+++ b/juniperreel/raft/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the package. All of them derive from `RaftError`."""
+"""Exceptions of the package, all derived from `RaftError`."""
 
 from __future__ import annotations
 
@@ -6,158 +6,160 @@
 
 
 class RaftError(Exception):
-    """Base of every error that this package raises on purpose."""
+    """Base class of the package's exceptions."""
 
 
 class NotLeaderError(RaftError):
-    """Only the leader accepts this request.
+    """The node is not the leader, and only the leader accepts the request.
 
     Attributes:
-        leader: The node that may be the leader, or None if no leader is known.
+        leader: The presumed leader, or None if unknown.
     """
 
     def __init__(self, leader: str | None) -> None:
-        """`leader` is the node that may be the leader, if one is known."""
-        super().__init__(f"not the leader; that is {leader or 'not known'}")
+        """`leader` is the presumed leader, or None if unknown."""
+        super().__init__(f"not the leader; known leader: {leader or 'none'}")
         self.leader = leader
 
 
 class RequestRejectedError(RaftError):
-    """The leader does not accept the request now.
+    """The leader rejected the request in its current state.
 
     Attributes:
-        reason: Why, in words that an operator may read.
+        reason: Explanation for operators.
     """
 
     def __init__(self, reason: str) -> None:
-        """`reason` says why, in words that an operator may read."""
+        """`reason` is an explanation for operators."""
         super().__init__(reason)
         self.reason = reason
 
 
 class MembershipChangeRejectedError(RequestRejectedError):
-    """A membership change cannot be made to the membership in force.
+    """The change is not valid for the membership in force.
 
     Attributes:
-        node: The node that the change names.
-        reason: Why, in words that an operator may read.
+        node: The node that the change adds, promotes or removes.
+        reason: Explanation for operators.
     """
 
     def __init__(self, node: str, reason: str) -> None:
-        """`node` is the one that the change names; `reason` says why it is rejected."""
+        """`node` is the subject of the change; `reason` is an explanation for operators."""
         super().__init__(reason)
         self.node = node
 
 
 class EntrySupersededError(RaftError):
-    """Another entry took the place of the proposed one: it was not applied, and will not be.
+    """The proposed entry was superseded.
+
+    If another entry superseded it, it is never applied; if a snapshot did, its outcome is unknown.
 
     Attributes:
-        reason: What took its place.
+        reason: What superseded it.
     """
 
     def __init__(self, reason: str) -> None:
-        """`reason` says what took the entry's place."""
+        """`reason` says what superseded the entry."""
         super().__init__(reason)
         self.reason = reason
 
 
 class LeaderUnreachableError(RaftError):
-    """No instance answered as the leader.
+    """No instance responded as the leader.
 
     Attributes:
-        attempts: How many calls were made.
-        last_failure: What became of the last one.
+        attempts: Number of calls made.
+        last_failure: Failure of the last call.
     """
 
     def __init__(self, attempts: int, last_failure: str) -> None:
-        """`attempts` calls were made, and the last one ended with `last_failure`."""
-        super().__init__(f"no leader in {attempts} tries; last: {last_failure}")
+        """`attempts` calls failed, the last one with `last_failure`."""
+        super().__init__(f"no leader in {attempts} attempts; last failure: {last_failure}")
         self.attempts = attempts
         self.last_failure = last_failure
 
 
 class SafetyViolationError(RaftError, AssertionError):
-    """A message or log contradicts a safety property of Raft: the program or a peer is faulty.
+    """A message or log violates a safety property of Raft, due to a bug in this program or a peer.
 
     Attributes:
-        node: The node that noticed.
-        violation: Which property is broken, and how.
+        node: The node that detected the violation.
+        violation: The violated property, and how it was violated.
     """
 
     def __init__(self, node: str, violation: str) -> None:
-        """`node` noticed the `violation`, which says which property is broken and how."""
+        """`node` detected the `violation`, a description of the violated property."""
         super().__init__(violation)
         self.node = node
         self.violation = violation
 
 
 class LogIndexError(RaftError, ValueError):
-    """An index lies outside the log, or entries do not follow each other.
+    """An index is outside the log, or entries are not contiguous.
 
     Attributes:
-        index: The index at fault.
+        index: The invalid index.
     """
 
     def __init__(self, index: int, reason: str) -> None:
-        """`index` is at fault because of `reason`."""
+        """`index` is invalid because of `reason`."""
         super().__init__(f"index {index}: {reason}")
         self.index = index
         self.reason = reason
 
 
 class MalformedDataError(RaftError, ValueError):
-    """Bytes from a peer, a client or the log are not what they should be.
+    """Bytes from a peer, a client or the log cannot be decoded.
 
     Attributes:
-        expected: What the bytes should have been.
-        reason: What is wrong with them.
+        expected: The type of data expected.
+        reason: Why the bytes cannot be decoded.
     """
 
     def __init__(self, expected: str, reason: str) -> None:
-        """The bytes are not `expected`, because of `reason`."""
+        """The bytes cannot be decoded as `expected` because of `reason`."""
         super().__init__(f"not {expected}: {reason}")
         self.expected = expected
         self.reason = reason
 
 
 class CommandRejectedError(RaftError):
-    """A command does not lead from the version in force to a valid one.
+    """Applying a command to the version in force would not give a valid version.
 
     Attributes:
-        reason: Why, in words that an operator may read.
+        reason: Explanation for operators.
     """
 
     def __init__(self, reason: str) -> None:
-        """`reason` says why, in words that an operator may read."""
+        """`reason` is an explanation for operators."""
         super().__init__(reason)
         self.reason = reason
 
 
 class UnknownNameError(CommandRejectedError):
-    """A command changes something that is not in the configuration.
+    """A command refers to an object that is not in the configuration.
 
     Attributes:
-        kind: What it should have been: a member, group, class, tenant or limit.
-        name: The name that is not there.
+        kind: The kind of object: member, group, class, tenant or limit.
+        name: The unknown name.
     """
 
     def __init__(self, kind: str, name: str | int) -> None:
-        """There is no `kind` of that `name`."""
+        """There is no `kind` with that `name`."""
         super().__init__(f"there is no {kind} {name}")
         self.kind = kind
         self.name = name
 
 
 class InvalidNodeNameError(RaftError, ValueError):
-    """A node's name does not hold an address.
+    """A node name does not contain an address.
 
     Attributes:
-        name: The name at fault.
+        name: The invalid name.
     """
 
     def __init__(self, name: str) -> None:
-        """`name` is the name at fault."""
+        """`name` is the invalid name."""
         super().__init__(f"{name!r} is not name@host:port")
         self.name = name
 
@@ -166,8 +168,8 @@
     """A node's directory cannot be used.
 
     Attributes:
-        path: The directory, or the file in it.
-        reason: What is wrong and what to do.
+        path: The directory, or a file in it.
+        reason: The problem and its remedy.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -178,11 +180,11 @@
 
 
 class DamagedDirectoryError(StorageError):
-    """A record is missing or does not match its checksum, so that the node must be replaced.
+    """A record is missing or fails its checksum, so the node must be replaced.
 
     Attributes:
-        node: The node whose directory it is.
-        damage: What was found.
+        node: The node that owns the directory.
+        damage: Description of the damage.
     """
 
     def __init__(self, path: Path, damage: str, node: str) -> None:
@@ -194,16 +196,16 @@
 
 
 class DiskFullError(RaftError):
-    """A write did not happen; what the directory held before is whole.
+    """A write failed and left the directory unchanged.
 
     Attributes:
         path: The directory.
-        may_pass: The same write may succeed later; False where the data file has reached its size.
+        transient: Whether a retry may succeed; False if the data file has reached its size limit.
     """
 
-    def __init__(self, path: Path, reason: str, may_pass: bool = True) -> None:
+    def __init__(self, path: Path, reason: str, transient: bool = True) -> None:
         """A write to `path` failed because of `reason`."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = reason
-        self.may_pass = may_pass
+        self.transient = transient
--- a/juniperreel/raft/leadership_transfer.py
+++ b/juniperreel/raft/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Handing the leadership to a chosen voter (dissertation, 3.10)."""
+"""Leadership transfer to a chosen voter (dissertation, 3.10)."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class LeadershipTransfer:
-    """Owns the transfer under way, of which there is one at most.
+    """Owns the leadership transfer in progress, at most one.
 
-    While it is under way the leader takes no proposals, so that the target can hold all of the log.
+    The leader rejects proposals during a transfer, so that the target can catch up with its log.
     """
 
     def __init__(self, state: NodeState, replication: Replication) -> None:
-        """The progress in `replication` tells when the target holds all of the log."""
+        """`replication` provides the target's match index."""
         self._state = state
         self._replication = replication
         self._target: str | None = None
 
     @property
     def in_progress(self) -> bool:
-        """Whether the leadership is being handed over."""
+        """Whether a transfer is in progress."""
         return self._target is not None
 
     def start(self, target: str) -> None:
-        """Hand the leadership to `target`. Raises RequestRejectedError if it is not another voter."""
+        """Start a transfer to `target`. Raises RequestRejectedError if it is not another voter."""
         if target not in self._state.membership.voters or target == self._state.name:
             reason = f"{target} is not another voter"
             raise RequestRejectedError(reason)
@@ -34,7 +34,7 @@
         self.on_progress(target)
 
     def on_progress(self, follower: str) -> None:
-        """Ask the target to stand for election as soon as it holds all of the log."""
+        """Send the target a TimeoutNow once its log is up to date."""
         if follower != self._target:
             return
         progress = self._replication.progress_of(follower)
@@ -42,5 +42,5 @@
             self._state.send(TimeoutNow(self._state.name, follower, self._state.term))
 
     def abort(self) -> None:
-        """Give up the transfer under way, if there is one."""
+        """Abort the transfer in progress, if any."""
         self._target = None
--- a/juniperreel/raft/membership.py
+++ b/juniperreel/raft/membership.py
@@ -1,4 +1,4 @@
-"""Who belongs to the group: its encoding in the log, its history, and which changes are allowed."""
+"""Group membership: encoding in the log, history along the log, and validation of changes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """The data of a CONFIG entry."""
+    """Encode a membership as the data of a CONFIG entry."""
     sections = (membership.voters, membership.learners, membership.retired)
     return SECTION_SEPARATOR.join(NAME_SEPARATOR.join(sorted(names)) for names in sections).encode()
 
 
 def decode_membership(data: bytes) -> Membership:
-    """The membership in a CONFIG entry's data. Raises ValueError for other bytes."""
+    """Decode the data of a CONFIG entry. Raises ValueError if it is malformed."""
     lines = data.decode().split(SECTION_SEPARATOR)
     if len(lines) != SECTIONS:
         raise MalformedDataError(MEMBERSHIP, f"{len(lines)} sections")
@@ -27,14 +27,14 @@
 
 
 class MembershipHistory:
-    """The memberships along the log.
+    """The membership at each index of the log.
 
-    In force is that of the newest CONFIG entry in the log, committed or not (dissertation, 4.1). When that
-    entry is truncated, the one before it is in force again.
+    The latest CONFIG entry in the log is in force, whether committed or not (dissertation, 4.1). If it is
+    truncated, the previous one is in force again.
     """
 
     def __init__(self, index: int, membership: Membership) -> None:
-        """Begins with the membership of the snapshot at `index`."""
+        """Starts with the membership of the snapshot at `index`."""
         self._history = [(index, membership)]
 
     @property
@@ -44,30 +44,30 @@
 
     @property
     def index(self) -> int:
-        """Index of the entry that brought the membership in force."""
+        """Index of the entry that introduced the membership in force."""
         return self._history[-1][0]
 
     def append(self, entry: Entry) -> None:
-        """Note an entry that was appended to the log; only CONFIG entries count."""
+        """Record an entry appended to the log; entries other than CONFIG have no effect."""
         if entry.kind is EntryKind.CONFIG:
             self._history.append((entry.index, decode_membership(entry.data)))
 
     def truncate(self, start: int) -> None:
-        """Note that `start` and all after it were dropped from the log."""
+        """Drop the memberships introduced at `start` or later, which were truncated from the log."""
         while len(self._history) > 1 and self._history[-1][0] >= start:
             self._history.pop()
 
     def at(self, index: int) -> Membership:
-        """The membership that is in force at an index, which must not lie before the last compaction."""
+        """The membership in force at `index`, which must not precede the last compaction."""
         return next(membership for since, membership in reversed(self._history) if since <= index)
 
     def compact(self, index: int) -> None:
-        """Forget what was in force before `index`."""
+        """Drop the history before `index`."""
         later = [(since, membership) for since, membership in self._history if since > index]
         self._history = [(index, self.at(index)), *later]
 
     def reset(self, index: int, membership: Membership) -> None:
-        """Begin again with the membership of the snapshot at `index`."""
+        """Restart the history with the membership of the snapshot at `index`."""
         self._history = [(index, membership)]
 
 
@@ -76,8 +76,8 @@
 ) -> Membership:
     """The membership after one change.
 
-    `lag` counts the committed entries that the named node is not known to hold; more than `max_lag` of them
-    forbid its promotion. Raises MembershipChangeRejectedError.
+    `lag` is the number of committed entries that the node is not known to have; a learner that lags by more
+    than `max_lag` is not promoted. Raises MembershipChangeRejectedError.
     """
     if change is MembershipChange.ADD_LEARNER:
         return _with_learner(membership, name)
--- a/juniperreel/raft/memory_storage.py
+++ b/juniperreel/raft/memory_storage.py
@@ -1,4 +1,4 @@
-"""The storage's in-memory counterpart, for simulation: it holds what a disk would after each write."""
+"""In-memory counterpart of `Storage` for simulation; after each write it holds what the disk would hold."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class InMemoryStorage:
-    """Behaves as `Storage` does, but for the disk."""
+    """Has the semantics of `Storage` without a disk."""
 
     def __init__(self, membership: Membership) -> None:
-        """Holds what a new directory does: an empty snapshot with the first membership."""
+        """Starts like a new directory, with an empty snapshot that holds the initial membership."""
         self.hard_state = HardState()
         self.snapshot = Snapshot(0, 0, membership, b"")
         self.compacted_index = 0
@@ -18,7 +18,7 @@
         self.entries: list[Entry] = []
 
     def write(self, batch: PersistBatch) -> None:
-        """Write the whole batch."""
+        """Write a batch atomically."""
         if batch.hard_state is not None:
             self.hard_state = batch.hard_state
         if batch.snapshot is not None:
@@ -46,7 +46,7 @@
         return dropped[0].term if dropped else self.compacted_term
 
     def recover(self) -> RecoveredState:
-        """What a node starts with that opens this storage."""
+        """The state that a node recovers when it opens this storage."""
         return RecoveredState(
             self.hard_state, self.snapshot, list(self.entries), self.compacted_index, self.compacted_term
         )
--- a/juniperreel/raft/messages.py
+++ b/juniperreel/raft/messages.py
@@ -1,8 +1,7 @@
 """Messages between nodes.
 
-A message is sent as a map of its fields, so a field that was renamed keeps its old name on the wire through
-`rename`; the tags of the messages stand in `juniperreel.raft.wire`. `term` is the sender's unless a message
-says otherwise.
+Messages are encoded as maps, so renamed fields keep their wire names through `rename`; the message tags are
+defined in `juniperreel.raft.wire`. `term` is the sender's current term unless documented otherwise.
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, rename={"pre_vote": "pre", "leadership_transfer": "transfer"}):
-    """RequestVote of the paper, or the question of a pre-vote.
+    """RequestVote (paper, figure 2), or a pre-vote request.
 
-    `term` is the one that the candidate stands for; in a pre-vote nobody adopts it (dissertation, 9.6).
-    `leadership_transfer` tells that the leader itself asked for the election (dissertation, 3.10).
+    `term` is the candidate's term; receivers of a pre-vote do not adopt it (dissertation, 9.6).
+    `leadership_transfer` is set if the leader requested the election (dissertation, 3.10).
     """
 
     src: str
@@ -29,7 +28,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, rename={"pre_vote": "pre"}):
-    """Answer to a VoteRequest. `term` is the requested one if granted, otherwise the sender's."""
+    """Reply to a VoteRequest. `term` is the requested term if granted, otherwise the sender's."""
 
     src: str
     dst: str
@@ -41,9 +40,9 @@
 class AppendEntries(
     msgspec.Struct, frozen=True, rename={"commit_index": "commit", "heartbeat_round": "round"}
 ):
-    """Entries that follow `prev_index`, or a heartbeat without any.
+    """Entries that follow `prev_index`, or a heartbeat without entries.
 
-    `heartbeat_round` numbers the rounds of heartbeats that linearizable reads wait for.
+    `heartbeat_round` identifies the heartbeat round; linearizable reads wait for its acknowledgement.
     """
 
     src: str
@@ -59,11 +58,11 @@
 class AppendEntriesReply(
     msgspec.Struct, frozen=True, rename={"rejected_index": "refused", "heartbeat_round": "round"}
 ):
-    """Answer to AppendEntries.
+    """Reply to AppendEntries.
 
-    Accepted, `index` is the last one that matches the leader's log. Rejected, `index` and `hint_term` say
-    where a match may lie (paper, end of 5.3), and `rejected_index` repeats the `prev_index` that did not
-    match.
+    If accepted, `index` is the last index that matches the leader's log. If rejected, `index` and `hint_term`
+    are a hint where the logs may match (paper, end of 5.3), and `rejected_index` is the `prev_index` that did
+    not match.
     """
 
     src: str
@@ -77,7 +76,7 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, rename={"membership": "members"}):
-    """A part of the snapshot of `index`, at `offset` bytes; the last part says so (paper, figure 13)."""
+    """A chunk of the snapshot at `index`, from byte `offset` on (InstallSnapshot; paper, figure 13)."""
 
     src: str
     dst: str
@@ -91,9 +90,9 @@
 
 
 class SnapshotReply(msgspec.Struct, frozen=True):
-    """How many bytes of the snapshot of `index` have arrived.
+    """Reply to a SnapshotChunk: `offset` is the number of bytes received of the snapshot at `index`.
 
-    `done` tells that the snapshot is installed or no longer needed.
+    `done` is set if the snapshot is installed or no longer needed.
     """
 
     src: str
@@ -105,7 +104,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True):
-    """Asks a follower to stand for election at once (dissertation, 3.10)."""
+    """Asks a follower to start an election immediately (dissertation, 3.10)."""
 
     src: str
     dst: str
--- a/juniperreel/raft/node.py
+++ b/juniperreel/raft/node.py
@@ -1,7 +1,7 @@
-"""A running node: one task owns the core, the storage and the state machine; others send it messages.
+"""A running node: one task owns the core, the storage and the state machine; other tasks send it messages.
 
-Everything is bounded: the inbox (peers' messages are dropped when it is full, which Raft tolerates), each
-peer's outbox, the operations in progress. A `Ready` is carried out in its order.
+All queues are bounded: the inbox (when it is full, messages from peers are dropped, which Raft tolerates),
+the outbox of each peer, and the pending operations. Each `Ready` is processed in its documented order.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 MAX_INBOX = 4096
 DEFAULT_TICK_US = 30_000
 DEFAULT_SNAPSHOT_INTERVAL = 1000  # entries
-WRITE_RETRY_S = 60.0  # how long a write is tried that fails for a reason that may pass
+WRITE_RETRY_S = 60.0  # how long a write is retried after transient errors
 WRITE_RETRY_PAUSE_S = 0.2
-NODE_STOPS = "the instance stops"
+NODE_STOPPING = "the instance stops"
 
 
 class RoleAndLeader(NamedTuple):
-    """What a node logs changes of."""
+    """Role and leader, whose changes are logged."""
 
     role: Role
     leader: str | None
 
 
 class RaftNode:
-    """One instance.
+    """One running Raft node.
 
     Attributes:
-        name: Its name, name@host:port.
+        name: The node's name, name@host:port.
         cluster: The cluster's name.
-        key: The cluster's key, which signs calls between nodes.
-        core: The Raft state machine; only `run` may change it.
-        state_machine: The configuration as far as it is applied here.
-        applied: Wakes whoever waits for a new version, or for the end of the node.
+        key: The cluster's key, used to sign calls between nodes.
+        core: The Raft state machine; only `run` may modify it.
+        state_machine: The configuration as applied on this node.
+        applied: Wakes the tasks that wait for a new version or for the node to stop.
         stopped: Whether `run` has ended.
     """
 
@@ -67,10 +67,10 @@
         tick_us: int = DEFAULT_TICK_US,
         snapshot_interval: int = DEFAULT_SNAPSHOT_INTERVAL,
     ) -> None:
-        """Starts from what the storage holds.
+        """Starts from the contents of the storage.
 
-        `tick_us` is the time between ticks; a snapshot is taken every `snapshot_interval` entries. Raises
-        StorageError where the directory cannot be read.
+        `tick_us` is the tick interval; a snapshot is taken every `snapshot_interval` entries. Raises
+        StorageError if the directory cannot be read.
         """
         self.name = name
         self.cluster = cluster
@@ -90,12 +90,12 @@
         self._peers = PeerSet(peer_context, lambda: self.core.membership.all, log)
         self._operations = OperationTable()
         self._last_read_context = 0
-        self._logged: RoleAndLeader | None = None
+        self._last_logged: RoleAndLeader | None = None
 
-    # Called by other tasks.
+    # Methods called by other tasks.
 
     def deliver(self, message: Message) -> None:
-        """Take a peer's message; it is dropped if the inbox is full or the node has stopped."""
+        """Queue a message from a peer; it is dropped if the inbox is full or the node has stopped."""
         try:
             self._send_channel.send_nowait(message)
         except (trio.WouldBlock, trio.BrokenResourceError):
@@ -113,19 +113,19 @@
         RequestRejectedError or EntrySupersededError.
         """
         outcome = await self._perform(PendingOperation(lambda: self.core.propose(data)))
-        assert outcome is not None  # every command has one
+        assert outcome is not None  # every command entry has an outcome
         return outcome
 
     async def change_membership(self, change: MembershipChange, name: str) -> None:
-        """Return once the new membership is committed. Raises as `propose` does."""
+        """Change the membership and wait for the commit. Raises the errors of `propose`."""
         await self._perform(PendingOperation(lambda: self.core.change_membership(change, name)))
 
     async def transfer_leadership(self, target: str) -> None:
-        """Begin to hand the leadership to a voter. Raises NotLeaderError or RequestRejectedError."""
+        """Start a leadership transfer to a voter. Raises NotLeaderError or RequestRejectedError."""
         await self._perform(PendingOperation(lambda: self.core.transfer_leadership(target)))
 
     async def read(self) -> None:
-        """Return when the state machine holds all that was committed when the read began.
+        """Wait until the state machine includes everything that was committed when the read started.
 
         Raises NotLeaderError or RequestRejectedError.
         """
@@ -135,14 +135,15 @@
         try:
             await self._perform(operation)
         finally:
-            self._operations.forget_read(context)
+            self._operations.discard_read(context)
 
     # The node's task.
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled.
 
-        Raises DiskFullError: a node that cannot write for long must stop, and its group goes on without it.
+        Raises DiskFullError after `WRITE_RETRY_S` of failed writes, or at once if the error is permanent: the
+        node must stop so that its group continues without it.
         """
         try:
             async with trio.open_nursery() as nursery:
@@ -151,7 +152,7 @@
                 await self._loop()
         finally:
             self.stopped = True
-            self._operations.reject_all(NODE_STOPS)
+            self._operations.reject_all(NODE_STOPPING)
             self._send_channel.close()
             self.applied.wake()
 
@@ -160,68 +161,68 @@
         next_tick = trio.current_time() + tick_s
         while True:
             with trio.move_on_at(next_tick):
-                self._take(await self._inbox.receive())
-            self._take_waiting()
+                self._handle(await self._inbox.receive())
+            self._drain_inbox()
             now = trio.current_time()
             if now >= next_tick:
                 self.core.tick()
-                # Ticks missed in a pause are not made up for: they would look like a silent leader.
+                # Ticks missed in a stall are skipped: catching up would make the leader appear silent.
                 next_tick = max(next_tick + tick_s, now)
-            await self._carry_out_ready()
+            await self._process_ready()
 
-    def _take_waiting(self) -> None:
+    def _drain_inbox(self) -> None:
         for _ in range(MAX_INBOX):
             try:
                 item = self._inbox.receive_nowait()
             except trio.WouldBlock:
                 return
-            self._take(item)
+            self._handle(item)
 
-    def _take(self, item: Message | PendingOperation) -> None:
+    def _handle(self, item: Message | PendingOperation) -> None:
         if isinstance(item, PendingOperation):
             self._operations.start(item)
         else:
             self.core.step(item)
 
-    async def _carry_out_ready(self) -> None:
+    async def _process_ready(self) -> None:
         while self.core.has_ready():
             ready = self.core.take_ready()
             if ready.persist:
                 await self._persist(ready.persist)
             self.core.mark_persisted(ready)
-            self._carry_out(ready)
+            self._send_and_apply(ready)
         self._log_role_change()
 
     async def _persist(self, batch: PersistBatch) -> None:
-        """Write a batch, again and again while that fails in a way that may pass.
+        """Write a batch, retrying transient errors.
 
-        Nothing is sent or answered meanwhile: to the others this node is silent, and they elect a leader
-        without it. A batch that failed left the directory as it was, so the same one is written again.
+        The node sends and answers nothing meanwhile, so the other nodes elect a leader without it. A failed
+        write leaves the directory unchanged, so the same batch can be retried.
         """
-        give_up_at = trio.current_time() + WRITE_RETRY_S
+        retry_deadline = trio.current_time() + WRITE_RETRY_S
         while True:
             try:
                 await trio.to_thread.run_sync(self._storage.write, batch)
             except DiskFullError as error:
-                if not error.may_pass or trio.current_time() >= give_up_at:
+                if not error.transient or trio.current_time() >= retry_deadline:
                     self._log.error("disk full, instance stopping", error=str(error))
                     raise
-                self._log.warning("write failed, trying again", error=str(error))
+                self._log.warning("write failed, retrying", error=str(error))
                 await trio.sleep(WRITE_RETRY_PAUSE_S)
             else:
                 return
 
     def _log_role_change(self) -> None:
-        now = RoleAndLeader(self.core.role, self.core.leader)
-        if now == self._logged:
+        current = RoleAndLeader(self.core.role, self.core.leader)
+        if current == self._last_logged:
             return
-        self._logged = now
-        self._log.info("role changed", role=now.role.value, leader=now.leader, term=self.core.term)
+        self._last_logged = current
+        self._log.info("role changed", role=current.role.value, leader=current.leader, term=self.core.term)
         if not self.core.is_leader:
             self._operations.on_leadership_lost(self.core.leader)
 
-    def _carry_out(self, ready: Ready) -> None:
-        """Send, apply and answer; what `ready` has to persist is on disk."""
+    def _send_and_apply(self, ready: Ready) -> None:
+        """Send, apply and answer, once the batch in `ready` is durable."""
         for message in ready.messages:
             self._peers.enqueue(message)
         if ready.installed_snapshot is not None:
--- a/juniperreel/raft/offline.py
+++ b/juniperreel/raft/offline.py
@@ -1,4 +1,4 @@
-"""Operations on the directory of a stopped node: look at it, or start a new cluster from it."""
+"""Operations on the directory of a stopped node: inspect it, or start a new cluster from it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryContents:
-    """What a directory holds, and whose it is."""
+    """The owner and contents of a directory."""
 
     cluster: str
     node: str
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RescueResult:
-    """What a new cluster starts with.
+    """Initial state of a cluster created by `rescue`.
 
     Attributes:
         version: The version of the configuration.
-        uncommitted_entries: Applied entries that the old node did not know to be committed.
+        uncommitted_entries: Number of applied entries that the old node did not know to be committed.
     """
 
     version: int
@@ -39,9 +39,9 @@
 
 
 def inspect_directory(path: Path) -> DirectoryContents:
-    """Whose directory it is, and what it holds. Writes nothing. Raises StorageError."""
+    """Read the owner and contents of a directory. Writes nothing. Raises StorageError."""
     if not (path / DATA_FILE).exists():
-        raise StorageError(path, "holds no node")
+        raise StorageError(path, "holds no node's data")
     owner = _read_owner(path)
     storage = Storage.open(path, owner.cluster, owner.node)
     try:
@@ -62,11 +62,11 @@
 
 
 def rescue(source: Path, target: Path, cluster: str, node: str, map_bytes: int = MAP_BYTES) -> RescueResult:
-    """Make a new cluster of one node from what a stopped node of a lost one holds.
+    """Create a single-node cluster from the directory of a stopped node whose cluster lost its quorum.
 
-    Entries beyond what the old node knew to be committed are kept: they may have been confirmed, and the
-    quorum that knew is gone. Raises StorageError, also for the old cluster's name: the old nodes must never
-    take part in the new cluster.
+    Entries that the old node did not know to be committed are kept: they may have been confirmed by the lost
+    quorum. Raises StorageError, also if `cluster` is the old cluster's name: the old nodes must never take
+    part in the new cluster.
     """
     contents = inspect_directory(source)
     if cluster == contents.cluster:
--- a/juniperreel/raft/operations.py
+++ b/juniperreel/raft/operations.py
@@ -1,4 +1,4 @@
-"""Operations that tasks asked of a node and whose outcome they await."""
+"""Pending operations of a node: requests by other tasks that wait for an outcome."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 
 @dataclass(slots=True, eq=False)
 class PendingOperation:
-    """One operation, from the request to its outcome.
+    """One operation, from request to outcome.
 
     Attributes:
-        start: Runs in the node's task. Returns where the proposed entry stands, or None if the operation has
-            no entry. May raise NotLeaderError or RequestRejectedError.
-        read_context: Of a linearizable read, which ends when its index is applied.
-        done: Set once there is an outcome.
-        outcome: Of the applied command, if there was one.
-        error: Why the operation failed, if it did.
+        start: Runs in the node's task. Returns the position of the proposed entry, or None if the operation
+            has no entry. May raise NotLeaderError or RequestRejectedError.
+        read_context: Context of a linearizable read, which completes when its index is applied; otherwise
+            None.
+        done: Set when the operation has succeeded or failed.
+        outcome: Outcome of the applied command, if the operation proposed one.
+        error: The error that the operation failed with, if any.
     """
 
     start: Callable[[], LogPosition | None]
@@ -38,19 +39,19 @@
     error: RaftError | None = None
 
     def succeed(self, outcome: Outcome | None = None) -> None:
-        """End the operation, unless it has ended."""
+        """Complete the operation; has no effect if it is already done."""
         if not self.done.is_set():
             self.outcome = outcome
             self.done.set()
 
     def fail(self, error: RaftError) -> None:
-        """End the operation with an error, unless it has ended."""
+        """Fail the operation; has no effect if it is already done."""
         if not self.done.is_set():
             self.error = error
             self.done.set()
 
     async def wait(self) -> Outcome | None:
-        """Wait for the outcome. Raises the operation's error."""
+        """Wait for the outcome. Raises the operation's error if it failed."""
         await self.done.wait()
         if self.error is not None:
             raise self.error
@@ -59,16 +60,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingEntry:
-    """An entry in the log that somebody waits for."""
+    """A proposed entry whose operation is waiting for it to be applied."""
 
     term: int
     operation: PendingOperation
 
 
 class OperationTable:
-    """The operations whose entries wait to be applied, and the reads that wait to be confirmed.
+    """Operations that wait for their entry to be applied, and reads that wait to be confirmed.
 
-    Invariant: every operation in it ends: applied, superseded, lost with the leadership, or with the node.
+    Invariant: every operation in the table completes: when its entry is applied or superseded, when the
+    leadership is lost, or when the node stops.
     """
 
     def __init__(self) -> None:
@@ -77,12 +79,12 @@
         self._reads: dict[int, PendingOperation] = {}  # by context
 
     def require_capacity(self) -> None:
-        """Raises RequestRejectedError where too many operations are pending."""
+        """Raises RequestRejectedError if too many operations are pending."""
         if len(self._entries) + len(self._reads) >= MAX_PENDING:
             raise RequestRejectedError(TOO_MANY_PENDING)
 
     def start(self, operation: PendingOperation) -> None:
-        """Start an operation in the node's task, and keep it until its outcome is known."""
+        """Start an operation and track it until it completes. Runs in the node's task."""
         try:
             position = operation.start()
         except (NotLeaderError, RequestRejectedError) as error:
@@ -95,12 +97,12 @@
         else:
             operation.succeed()
 
-    def forget_read(self, context: int) -> None:
-        """Drop a read that nobody waits for any longer."""
+    def discard_read(self, context: int) -> None:
+        """Stop tracking a read whose caller no longer waits for it."""
         self._reads.pop(context, None)
 
     def on_applied(self, entry: Entry, outcome: Outcome | None) -> None:
-        """End the operation that waited for an entry's index."""
+        """Complete the operation that waits for the entry's index."""
         pending = self._entries.pop(entry.index, None)
         if pending is None:
             return
@@ -110,19 +112,19 @@
             pending.operation.fail(EntrySupersededError(SUPERSEDED_BY_ENTRY))
 
     def on_snapshot_installed(self, index: int) -> None:
-        """Fail the operations whose entries the snapshot covers: whether they were applied is not known."""
+        """Fail the operations whose entries the snapshot covers: it does not say if they were applied."""
         for covered in [pending_index for pending_index in self._entries if pending_index <= index]:
             self._entries.pop(covered).operation.fail(EntrySupersededError(SUPERSEDED_BY_SNAPSHOT))
 
     def on_reads_confirmed(self, read_states: Iterable[ReadState]) -> None:
-        """End the reads that were confirmed."""
+        """Complete the reads that were confirmed."""
         for read_state in read_states:
             operation = self._reads.pop(read_state.context, None)
             if operation is not None:
                 operation.succeed()
 
     def on_reads_lost(self, contexts: Iterable[int], leader: str | None) -> None:
-        """Fail reads that ended with the leadership; `leader` is the new one, if known."""
+        """Fail reads that were lost with the leadership; `leader` is the new leader, if known."""
         for context in contexts:
             operation = self._reads.pop(context, None)
             if operation is not None:
@@ -131,13 +133,13 @@
     def on_leadership_lost(self, leader: str | None) -> None:
         """Fail all reads.
 
-        Entries beyond the commit index may be replaced or committed by another leader: whoever waits for one
-        gets its outcome when that index is applied.
+        Proposals stay pending: another leader may still commit or replace their entries, and the outcome is
+        known when their index is applied.
         """
         self.on_reads_lost(list(self._reads), leader)
 
     def reject_all(self, reason: str) -> None:
-        """Reject every operation, as the node stops."""
+        """Reject every pending operation when the node stops."""
         for pending in self._entries.values():
             pending.operation.fail(RequestRejectedError(reason))
         for operation in self._reads.values():
--- a/juniperreel/raft/peers.py
+++ b/juniperreel/raft/peers.py
@@ -1,4 +1,4 @@
-"""Sending messages to the other nodes: one task and one connection for each."""
+"""Sending messages to other nodes, with one task and one connection per peer."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 STEP_TIMEOUT_US = 1_000_000
 CONNECT_TIMEOUT_US = 500_000
 RECONNECT_BACKOFF = Backoff(20_000, 300_000)
-RETRY_PAUSE_S = 0.01  # at least; at most twice this
-MAX_OUTBOX = 256  # messages that wait for one peer
-MAX_BATCH = 64  # messages in one call
-MAX_GUESTS = 8
+RETRY_PAUSE_S = 0.01  # minimum; the pause is random, up to twice this
+MAX_OUTBOX = 256  # messages queued per peer
+MAX_BATCH = 64  # messages per call
+MAX_NON_MEMBERS = 8
 CALL_FAILURES = (ConnectError, CallUnprocessedError, CallInterruptedError, RpcError)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerContext:
-    """What the senders to all peers share.
+    """Context shared by the senders to all peers.
 
     Attributes:
         node: The sending node's name.
         cluster: The cluster's name.
-        key: The cluster's key, which signs every call.
-        network: Where connections are made.
-        clock: Reads the time for deadlines.
-        rng: Pauses are drawn from it.
+        key: The cluster's key, used to sign every call.
+        network: Opens connections.
+        clock: Time source for deadlines.
+        rng: Source of random pauses.
     """
 
     node: str
@@ -53,15 +53,15 @@
 
 
 class Peer:
-    """Sends one peer its messages in order; drops the oldest when the peer cannot keep up.
+    """Sends messages to one peer in order, dropping the oldest if the peer cannot keep up.
 
     Attributes:
-        dropped: How many messages were dropped.
+        dropped: Number of messages dropped.
         scope: Cancels `run`.
     """
 
     def __init__(self, context: PeerContext, name: str) -> None:
-        """`name` is the peer's, name@host:port."""
+        """`name` is the peer's node name, name@host:port."""
         self.dropped = 0
         self.scope = trio.CancelScope()
         self._context = context
@@ -70,7 +70,7 @@
         self._wakeup = Wakeup()
 
     def enqueue(self, message: Message) -> None:
-        """Have a message sent."""
+        """Queue a message for sending."""
         self._outbox.append(message)
         if len(self._outbox) > MAX_OUTBOX:
             del self._outbox[0]
@@ -78,7 +78,7 @@
         self._wakeup.wake()
 
     async def run(self) -> None:
-        """Send until `scope` is cancelled. Failed calls are not repeated: Raft sends again what is needed."""
+        """Send until `scope` is cancelled. Failed calls are not retried, since Raft retransmits as needed."""
         context = self._context
         host, port = wire.parse_address(self._name)
         channel = Channel(
@@ -124,50 +124,50 @@
 
 
 class PeerSet:
-    """The peers that a node sends messages to: the other members, and some guests.
+    """The peers that a node sends messages to: the other members, and up to `MAX_NON_MEMBERS` other nodes.
 
-    A guest is a node that this one does not know as a member. It is answered nevertheless, as a node that is
-    being added knows no members itself; only nodes that hold the cluster's key are heard at all.
+    Nodes that this one does not know as members must be answered too, since a node that is being added does
+    not know the membership yet. Only messages signed with the cluster's key are accepted at all.
     """
 
     def __init__(self, context: PeerContext, members: Callable[[], frozenset[str]], log: Any) -> None:
-        """`members` names the members in force; `log` is told of those that have no address."""
+        """`members` returns the members in force; members without an address are reported to `log`."""
         self._context = context
         self._members = members
         self._log = log
         self._peers: dict[str, Peer] = {}
-        self._guests: list[str] = []
+        self._non_members: list[str] = []
         self._start_soon: Callable[..., None] | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Run a task for each peer in the nursery from now on."""
+        """Start running the tasks of peers in `nursery`."""
         self._start_soon = nursery.start_soon
         self.update()
 
     def enqueue(self, message: Message) -> None:
-        """Have a message sent to the node that it names."""
-        peer = self._peers.get(message.dst) or self._add_guest(message.dst)
+        """Queue a message for its destination."""
+        peer = self._peers.get(message.dst) or self._add_non_member(message.dst)
         if peer is not None:
             peer.enqueue(message)
 
-    def _add_guest(self, name: str) -> Peer | None:
-        self._guests.append(name)
-        if len(self._guests) > MAX_GUESTS:
-            self._guests.pop(0)
+    def _add_non_member(self, name: str) -> Peer | None:
+        self._non_members.append(name)
+        if len(self._non_members) > MAX_NON_MEMBERS:
+            self._non_members.pop(0)
         self.update()
         return self._peers.get(name)
 
     def update(self) -> None:
-        """Start the peers that are missing, and stop those that are neither members nor guests."""
+        """Start missing peers, and stop those that are no longer needed."""
         assert self._start_soon is not None
-        wanted = (self._members() | set(self._guests)) - {self._context.node}
+        wanted = (self._members() | set(self._non_members)) - {self._context.node}
         for name in self._peers.keys() - wanted:
             self._peers.pop(name).scope.cancel()
         for name in sorted(wanted - self._peers.keys()):
             try:
                 wire.parse_address(name)
             except InvalidNodeNameError as error:
-                self._log.error("member has no address", member=name, error=str(error))
+                self._log.error("member name contains no address", member=name, error=str(error))
                 continue
             peer = Peer(self._context, name)
             self._peers[name] = peer
--- a/juniperreel/raft/progress.py
+++ b/juniperreel/raft/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower, and how much it may send it at once."""
+"""A leader's view of one follower, and flow control of the messages sent to it."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class ProgressState(Enum):
-    """How a follower is sent the log; the states are those of etcd's raft."""
+    """How the log is replicated to a follower; the states are those of etcd's raft."""
 
-    PROBE = "probe"  # one message at a time: where the logs match is not known yet
-    REPLICATE = "replicate"  # pipelined, up to the limit of messages in flight
-    SNAPSHOT = "snapshot"  # chunk after chunk, one at a time
+    PROBE = "probe"  # one message at a time, until the match index is known
+    REPLICATE = "replicate"  # pipelined, up to the in-flight limit
+    SNAPSHOT = "snapshot"  # snapshot transfer, one chunk at a time
 
 
 class Progress:
-    """The leader's record of one follower.
+    """Replication progress of one follower.
 
     Attributes:
-        match_index: Known to be on the follower's disk.
-        next_index: What it is sent next.
-        state: How it is sent entries.
-        recently_active: Whether it answered since the quorum was last checked.
-        acknowledged_round: The newest round of heartbeats that it answered.
-        snapshot_index: The snapshot that it is being sent, in state SNAPSHOT.
-        snapshot_offset: How many bytes of that snapshot it is known to hold.
+        match_index: Index of the last entry known to be durable on the follower.
+        next_index: Index of the next entry to send.
+        state: How the log is replicated to it.
+        recently_active: Whether it replied since the last quorum check.
+        acknowledged_round: The latest heartbeat round that it acknowledged.
+        snapshot_index: Index of the snapshot in transfer, in state SNAPSHOT.
+        snapshot_offset: Number of bytes of that snapshot that it has acknowledged.
     """
 
     def __init__(self, next_index: int, max_inflight: int) -> None:
-        """Starts in state PROBE. `max_inflight` bounds the unanswered messages in state REPLICATE."""
+        """Starts in state PROBE. `max_inflight` bounds the unacknowledged messages in state REPLICATE."""
         self.match_index = 0
         self.next_index = next_index
         self.state = ProgressState.PROBE
@@ -42,13 +42,13 @@
 
     @property
     def paused(self) -> bool:
-        """Whether nothing may be sent before an answer or the next heartbeat."""
+        """Whether sending is suspended until a reply arrives or the next heartbeat is due."""
         if self.state is ProgressState.REPLICATE:
             return len(self._inflight) >= self._max_inflight
         return self.awaiting_reply
 
     def on_sent(self, last_index: int) -> None:
-        """Note that a message was sent; `last_index` is that of its last entry."""
+        """Record that a message was sent; `last_index` is the index of its last entry."""
         if self.state is ProgressState.REPLICATE:
             self.next_index = last_index + 1
             self._inflight.append(last_index)
@@ -56,7 +56,7 @@
             self.awaiting_reply = True
 
     def on_accepted(self, index: int) -> bool:
-        """Note that the follower's log matches up to `index`. Returns whether that is more than was known."""
+        """Record that the follower's log matches up to `index`. Returns whether the match index advanced."""
         self.awaiting_reply = False
         while self._inflight and self._inflight[0] <= index:
             self._inflight.popleft()
@@ -68,9 +68,9 @@
         return advanced
 
     def on_rejected(self, rejected_index: int, hint_index: int) -> bool:
-        """Note that the log did not match at `rejected_index`, and may match at `hint_index`.
+        """Record that the log does not match at `rejected_index`, but may match at `hint_index`.
 
-        Returns False for a late answer, which says nothing about what is in flight now.
+        Returns False if the reply is stale and does not refer to a message in flight.
         """
         if self.state is ProgressState.REPLICATE:
             if rejected_index <= self.match_index:
@@ -84,17 +84,17 @@
         return True
 
     def become_replicate(self) -> None:
-        """Send entries pipelined from the known match on."""
+        """Replicate with pipelining, starting after the match index."""
         self._enter(ProgressState.REPLICATE)
         self.next_index = self.match_index + 1
 
     def become_probe(self) -> None:
-        """Send one message at a time from the known match on."""
+        """Replicate one message at a time, starting after the match index."""
         self._enter(ProgressState.PROBE)
         self.next_index = self.match_index + 1
 
     def become_snapshot(self, index: int) -> None:
-        """Send the snapshot of `index` from its beginning."""
+        """Transfer the snapshot at `index`, starting at offset 0."""
         self._enter(ProgressState.SNAPSHOT)
         self.snapshot_index = index
         self.snapshot_offset = 0
@@ -105,7 +105,7 @@
         self._inflight.clear()
 
     def on_heartbeat(self) -> None:
-        """Make room for one more message, as what was in flight may be lost."""
+        """Free one in-flight slot, since messages in flight may have been lost."""
         self.awaiting_reply = False
         if self._inflight and len(self._inflight) >= self._max_inflight:
             self._inflight.popleft()
--- a/juniperreel/raft/ready.py
+++ b/juniperreel/raft/ready.py
@@ -1,4 +1,4 @@
-"""What the core hands out to be done: write, send, apply, answer."""
+"""Output of the core: state to persist, messages to send, entries to apply and reads to answer."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class PersistBatch:
-    """To be written to disk, all of it or nothing, before anything else of a `Ready` happens.
+    """State to write to disk atomically, before the rest of a `Ready` is processed.
 
     Attributes:
         hard_state: The new hard state, if it changed.
-        snapshot: The new snapshot, if there is one; it replaces the log up to its index.
+        snapshot: The new snapshot, if any; it replaces the log up to its index.
         replaces_log: Whether the snapshot replaces the whole log.
-        entries: They replace whatever the log holds from the first one's index on.
-        first_retained_index: Entries below it are no longer needed once the snapshot is written.
+        entries: New entries; they replace all stored entries from the first one's index on.
+        first_retained_index: Entries below it can be deleted once the snapshot is written.
     """
 
     hard_state: HardState | None = None
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadState:
-    """The read that was requested under `context` may be answered once `index` is applied."""
+    """A confirmed read: the one requested as `context` may be answered once `index` is applied."""
 
     context: int
     index: int
@@ -41,18 +41,19 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the core wants done.
+    """One step of output.
 
-    First write `persist` and tell the core so, then send `messages` and apply `committed_entries`. That order
-    must not change: a message that is sent before the batch is on disk promises what a crash can take back.
+    Write `persist` first and call `RaftCore.mark_persisted`, then send `messages` and apply
+    `committed_entries`. The order is required: a message sent before the batch is durable could acknowledge
+    a vote or entries that a crash then loses.
 
     Attributes:
-        persist: To be written to disk first.
-        messages: To be sent.
-        installed_snapshot: The state machine starts again from this, before `committed_entries` are applied.
-        committed_entries: To be applied to the state machine, in their order.
+        persist: State to write to disk first.
+        messages: Messages to send.
+        installed_snapshot: Snapshot to restore the state machine from before applying `committed_entries`.
+        committed_entries: Entries to apply to the state machine, in order.
         read_states: Reads that may be answered.
-        lost_reads: Contexts of reads whose leader lost its leadership; they may be requested again.
+        lost_reads: Contexts of reads that failed because the node lost its leadership; they can be retried.
     """
 
     persist: PersistBatch
--- a/juniperreel/raft/records.py
+++ b/juniperreel/raft/records.py
@@ -1,6 +1,6 @@
-"""The records of a node's directory as bytes, each with a checksum of its key and contents. No I/O.
+"""Encoding of the records in a node's directory, each with a checksum of its key and data. No I/O.
 
-A field that was renamed keeps its stored name through `rename`, so that older directories can be read.
+Renamed fields keep their stored names through `rename`, so that existing directories stay readable.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class DirectoryOwner(msgspec.Struct, frozen=True):
-    """Which node of which cluster a directory belongs to, and in which format it is written."""
+    """The cluster and node that a directory belongs to, and its storage format."""
 
     format: int
     cluster: str
@@ -30,7 +30,7 @@
 
 
 class StoredHardState(msgspec.Struct, frozen=True):
-    """`HardState` as it is stored."""
+    """Stored form of `HardState`."""
 
     term: int
     vote: str | None
@@ -38,21 +38,21 @@
 
     @classmethod
     def of(cls, hard_state: HardState) -> StoredHardState:
-        """The record of a hard state."""
+        """Convert a hard state to its stored form."""
         return cls(hard_state.term, hard_state.vote, hard_state.commit)
 
     def to_hard_state(self) -> HardState:
-        """The hard state that was stored."""
+        """Convert to a hard state."""
         return HardState(self.term, self.vote, self.commit)
 
 
 class SnapshotMetadata(
     msgspec.Struct, frozen=True, rename={"compacted_index": "base", "compacted_term": "base_term"}
 ):
-    """Where the snapshot and the log stand.
+    """Metadata of the snapshot and the start of the log.
 
     `compacted_index` and `compacted_term` are those of the entry before the first one in the log. The
-    snapshot's data is stored apart, in `chunks` numbered records.
+    snapshot's data is stored separately, in `chunks` numbered records.
     """
 
     index: int
@@ -68,7 +68,7 @@
     def of(
         cls, snapshot: Snapshot, chunks: int, compacted_index: int, compacted_term: int
     ) -> SnapshotMetadata:
-        """The record of a snapshot whose data is stored in so many chunks."""
+        """The metadata of a snapshot whose data is stored in `chunks` records."""
         membership = snapshot.membership
         return cls(
             index=snapshot.index,
@@ -82,18 +82,18 @@
         )
 
     def to_snapshot(self, data: bytes) -> Snapshot:
-        """The snapshot that was stored, with its data."""
+        """Convert to a snapshot with the given data."""
         membership = Membership(frozenset(self.voters), frozenset(self.learners), frozenset(self.retired))
         return Snapshot(self.index, self.term, membership, data)
 
 
-def seal(key: bytes, data: bytes) -> bytes:
-    """A record: the checksum of its key and data, then the data."""
+def encode_record(key: bytes, data: bytes) -> bytes:
+    """Encode a record: a checksum over key and data, followed by the data."""
     return CHECKSUM.pack(xxhash.xxh64_intdigest(key + data)) + data
 
 
-def unseal(key: bytes, record: bytes) -> bytes | None:
-    """The data of a record, or None where it does not match its checksum."""
+def decode_record(key: bytes, record: bytes) -> bytes | None:
+    """The data of a record, or None if the checksum does not match."""
     if len(record) < CHECKSUM.size:
         return None
     data = record[CHECKSUM.size :]
@@ -102,12 +102,12 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """The data of an entry's record; its index is the key."""
+    """Encode an entry as record data; its index is the record's key."""
     return ENTRY_HEADER.pack(entry.term, entry.kind.value) + entry.data
 
 
 def decode_entry(index: int, data: bytes) -> Entry | None:
-    """The entry in a record's data, or None where the data is too short for one."""
+    """Decode an entry from record data, or None if the data is too short."""
     if len(data) < ENTRY_HEADER.size:
         return None
     term, kind = ENTRY_HEADER.unpack_from(data)
--- a/juniperreel/raft/replication.py
+++ b/juniperreel/raft/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of log replication: what each follower is sent, and what is committed by that."""
+"""Leader side of log replication: sends log entries and snapshots, and advances the commit index."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 
 class Replication:
-    """Owns the progress of every follower and the numbering of heartbeat rounds.
+    """Owns the progress of each follower and the numbering of heartbeat rounds.
 
-    Invariant: a leader holds the progress of exactly the other members; any other node holds none.
+    Invariant: a leader tracks the progress of exactly the other members; a node that is not the leader tracks
+    none.
     """
 
     def __init__(self, state: NodeState) -> None:
-        """A node starts without followers."""
+        """Starts without followers, as the node is not the leader."""
         self._state = state
         self._progress: dict[str, Progress] = {}
-        self._term_start_index = 0  # of this leader's first entry
+        self._term_start_index = 0  # index of this leader's first entry in its term
         self._heartbeat_round = 0
         self._ticks_since_heartbeat = 0
 
@@ -28,24 +29,24 @@
         return self._state.commit_index >= self._term_start_index
 
     def match_indexes(self) -> dict[str, int]:
-        """What each follower is known to hold."""
+        """The match index of each follower."""
         return {name: progress.match_index for name, progress in self._progress.items()}
 
     def progress_of(self, name: str) -> Progress | None:
-        """The progress of a follower; None where this node does not lead it."""
+        """The progress of a follower, or None if this node is not its leader."""
         return self._progress.get(name) if self._state.is_leader else None
 
     def lag_of(self, name: str) -> int:
-        """How many committed entries a follower is not known to hold."""
+        """The number of committed entries that a follower is not known to have."""
         progress = self._progress.get(name)
         return self._state.commit_index - (progress.match_index if progress is not None else 0)
 
     # Leadership.
 
     def start_term(self) -> None:
-        """Begin to lead: with an entry of this term.
+        """Start leading the term by appending a no-op entry.
 
-        Entries of earlier terms are committed only through it (paper, 5.4.2 and section 8).
+        Entries of earlier terms are committed only through this entry (paper, 5.4.2 and section 8).
         """
         self._ticks_since_heartbeat = 0
         self._progress = {}
@@ -55,11 +56,11 @@
         self.broadcast()
 
     def stop(self) -> None:
-        """Forget the followers."""
+        """Stop tracking followers."""
         self._progress = {}
 
     def sync_followers(self) -> None:
-        """Track exactly the other members of the membership in force."""
+        """Update the tracked followers to the other members of the membership in force."""
         state = self._state
         followers = state.membership.all - {state.name}
         for name in self._progress.keys() - followers:
@@ -68,7 +69,7 @@
             self._progress[name] = Progress(state.log.last_index + 1, state.config.max_inflight_appends)
 
     def check_quorum(self) -> bool:
-        """Whether a quorum answered since the last check (dissertation, 6.2)."""
+        """Whether a quorum was active since the last check (dissertation, 6.2)."""
         active = {name for name, progress in self._progress.items() if progress.recently_active}
         active.add(self._state.name)
         for progress in self._progress.values():
@@ -83,12 +84,13 @@
         self._state.memberships.append(entry)
         return entry
 
-    # Commitment.
+    # Commit index.
 
     def advance_commit(self) -> bool:
-        """Commit what a quorum has on disk, if it is of this term (paper, 5.4.2 and figure 8).
+        """Advance the commit index to the last entry durable on a quorum.
 
-        Returns whether the commit index moved.
+        An entry of an earlier term is never committed by counting replicas (paper, 5.4.2 and figure 8).
+        Returns whether the commit index advanced.
         """
         state = self._state
         index = self._quorum_value(state.persisted_index, self.match_indexes())
@@ -98,7 +100,7 @@
         return True
 
     def acknowledged_round(self) -> int:
-        """The newest round of heartbeats that a quorum has answered."""
+        """The latest heartbeat round that a quorum has acknowledged."""
         rounds = {name: progress.acknowledged_round for name, progress in self._progress.items()}
         return self._quorum_value(self._heartbeat_round, rounds)
 
@@ -112,12 +114,12 @@
     # Sending.
 
     def broadcast(self) -> None:
-        """Send every follower what it lacks."""
+        """Send each follower the entries that it is missing."""
         for name in sorted(self._progress):
             self.send_to(name)
 
     def broadcast_commit(self) -> None:
-        """Tell every follower of a new commit index, also those that lack no entries."""
+        """Send each follower the new commit index, in an empty AppendEntries if it is missing no entries."""
         state = self._state
         for name in sorted(self._progress):
             progress = self._progress[name]
@@ -128,20 +130,20 @@
                 self._send_empty_append(name, progress.match_index, term)
 
     def heartbeat_due(self) -> bool:
-        """Count a tick. Returns whether it is time for a heartbeat."""
+        """Count a tick. Returns whether a heartbeat is due."""
         self._ticks_since_heartbeat += 1
         if self._ticks_since_heartbeat < self._state.config.heartbeat_ticks:
             return False
         self._ticks_since_heartbeat = 0
         return True
 
-    def start_heartbeat_round(self) -> int:
-        """Number a new round of heartbeats."""
+    def next_heartbeat_round(self) -> int:
+        """Start a new heartbeat round and return its number."""
         self._heartbeat_round += 1
         return self._heartbeat_round
 
     def send_heartbeats(self) -> None:
-        """Send every follower something: what it lacks, or an AppendEntries without entries."""
+        """Send each follower the entries that it is missing, or an empty AppendEntries."""
         log = self._state.log
         for name in sorted(self._progress):
             progress = self._progress[name]
@@ -157,13 +159,16 @@
 
     def _send_empty_append(self, name: str, prev_index: int, prev_term: int) -> None:
         state = self._state
-        # A follower may hold entries beyond its match that conflict with the leader's log; a commit index
-        # within the match commits none of them.
+        # Entries beyond the match index may conflict with the leader's log. Limiting the commit index to the
+        # match index keeps the follower from committing them.
         commit_index = min(state.commit_index, self._progress[name].match_index)
         self._send_append(name, prev_index, prev_term, (), commit_index)
 
     def send_to(self, name: str) -> bool:
-        """Send a follower what it lacks, as far as its window allows. Returns whether anything was sent."""
+        """Send a follower the entries that it is missing, within its in-flight window.
+
+        Returns whether anything was sent.
+        """
         state = self._state
         progress = self._progress[name]
         sent = False
@@ -202,7 +207,7 @@
         )
 
     def _next_batch(self, start: int) -> tuple[Entry, ...]:
-        """Entries from `start` on, within the limits of one message; at least one if there is one."""
+        """The entries from `start` on that fit in one message; at least one if the log has any."""
         log = self._state.log
         config = self._state.config
         end = min(log.last_index, start + config.max_entries_per_append - 1)
@@ -219,7 +224,7 @@
         state = self._state
         snapshot = state.snapshot
         if progress.snapshot_index != snapshot.index:
-            progress.become_snapshot(snapshot.index)  # a newer one has taken its place
+            progress.become_snapshot(snapshot.index)  # the leader has taken a newer snapshot meanwhile
         offset = progress.snapshot_offset
         data = snapshot.data[offset : offset + state.config.snapshot_chunk_bytes]
         state.send(
@@ -237,31 +242,31 @@
         )
         progress.on_sent(0)
 
-    # Answers.
+    # Replies.
 
     def on_accepted(self, progress: Progress, reply: AppendEntriesReply) -> bool:
-        """Note what a follower holds. Returns whether that is more than was known."""
+        """Record an accepted AppendEntries. Returns whether the match index advanced."""
         if progress.state is ProgressState.SNAPSHOT:
             progress.become_probe()
         return progress.on_accepted(min(reply.index, self._state.log.last_index))
 
     def awaits_snapshot(self, progress: Progress, reply: AppendEntriesReply) -> bool:
-        """Whether a follower that is being sent a snapshot lacks entries that were compacted here."""
+        """Whether a follower in state SNAPSHOT is still missing entries that this node has compacted."""
         return progress.state is ProgressState.SNAPSHOT and reply.index < self._state.log.compacted_index
 
     def on_rejected(self, progress: Progress, reply: AppendEntriesReply) -> None:
-        """Look for a match further back in the log, and send from there."""
+        """Move the follower's next index back after a rejected AppendEntries, and send from there."""
         if progress.state is ProgressState.SNAPSHOT:
             return
         hint_index = reply.index
         if reply.hint_term:
-            # The follower's hint, lowered to where this log has that term or an older one.
+            # Skip this log's entries with a term above the hint's: none of them can match.
             hint_index = self._state.log.find_conflict_index(reply.index, reply.hint_term)
         if progress.on_rejected(reply.rejected_index, hint_index):
             self.send_to(reply.src)
 
     def on_snapshot_reply(self, reply: SnapshotReply) -> None:
-        """Send the next chunk of the snapshot, if it is still the one that is being sent."""
+        """Send the next chunk, if the reply belongs to the snapshot in transfer."""
         progress = self.progress_of(reply.src)
         if progress is None or progress.state is not ProgressState.SNAPSHOT:
             return
--- a/juniperreel/raft/service.py
+++ b/juniperreel/raft/service.py
@@ -1,4 +1,4 @@
-"""The gRPC services of an instance: Raft for its peers, Configuration for everybody else."""
+"""gRPC services of an instance: Raft for its peers, Configuration for clients."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 SERVICE = "juniperreel.configuration.v1.Configuration"
 MAX_WATCHES = 2000
 MAX_CACHED_UPDATES = 100
-MAX_ECHO = 40  # characters of a bad argument that are shown
-HEARTBEAT_S = 1.0  # of a watch
+MAX_QUOTED_CHARS = 40  # of an invalid argument in an error message
+HEARTBEAT_INTERVAL_S = 1.0  # on a watch stream
 TRANSFER = "transfer"
 MEMBERSHIP_CHANGES = {
     "add": MembershipChange.ADD_LEARNER,
@@ -39,17 +39,17 @@
 
 
 class ConfigurationService:
-    """Answers from one node. Holds no state but the count of watches and the updates sent to them."""
+    """Serves requests from one node. Its only state is the number of watches and a cache of updates."""
 
     def __init__(self, node: RaftNode) -> None:
         """`node` must be running."""
         self._node = node
         self._watches = 0
-        # By the versions from and to: the same for all watchers of a version.
+        # Keyed by (old version, new version); shared by all watchers at the same version.
         self._updates: dict[tuple[int, int], ConfigurationUpdate] = {}
 
     def methods(self) -> dict[str, Method]:
-        """The handlers by path."""
+        """The method handlers by path."""
         return {
             STEP_PATH: Method(unary=self._step),
             f"/{SERVICE}/Propose": Method(unary=self._propose),
@@ -78,9 +78,9 @@
         return b""
 
     def _authenticate(self, request: raft_pb2.StepRequest) -> None:
-        """Check that a peer of this cluster sent the call to this node.
+        """Verify that the call was signed by a peer of this cluster and is addressed to this node.
 
-        Otherwise an instance of another cluster, or anybody who reaches the port, could take part in
+        Otherwise an instance of another cluster, or anyone who can reach the port, could take part in
         elections.
         """
         node = self._node
@@ -100,8 +100,8 @@
         if not node.core.is_leader:
             raise _not_leader(node.core.leader)
         if self._rejection_of(command):
-            # What would be rejected now need not go through the log. A leader that was replaced may check
-            # against an old version, so it first makes sure that it still leads.
+            # A command that would be rejected now need not go through the log. A deposed leader may have
+            # validated it against an old version, so leadership is confirmed before rejecting it.
             await self._confirm_leadership()
             rejection = self._rejection_of(command)
             if rejection:
@@ -112,7 +112,7 @@
         return pb.ProposeResponse(version=outcome.version, refusal=outcome.rejection).SerializeToString()
 
     def _rejection_of(self, command: Command) -> str:
-        """Why a new command would be rejected now; empty if it would not be, or was applied before."""
+        """The reason why a command would be rejected now; empty if it is valid or was already applied."""
         state_machine = self._node.state_machine
         if state_machine.previous_outcome(command) is not None:
             return ""
@@ -155,7 +155,7 @@
             self._watches -= 1
 
     async def _send_updates(self, call: Call, since: int) -> None:
-        """Send every version newer than `since`, and a heartbeat where there is none for a while."""
+        """Send each version newer than `since`, and a heartbeat after `HEARTBEAT_INTERVAL_S` without one."""
         node = self._node
         while True:
             self._require_running()
@@ -170,7 +170,7 @@
             else:
                 response = pb.WatchResponse(version=since, beat=True, leader=leader)
             await call.send(response.SerializeToString())
-            with trio.move_on_after(HEARTBEAT_S):
+            with trio.move_on_after(HEARTBEAT_INTERVAL_S):
                 while node.state_machine.current.version <= since and not node.stopped:
                     await node.applied.wait()
 
@@ -213,7 +213,7 @@
             raise RpcError(Code.INVALID_ARGUMENT, str(error), [violation]) from error
         change = MEMBERSHIP_CHANGES.get(request.change)
         if change is None and request.change != TRANSFER:
-            reason = f"{request.change[:MAX_ECHO]!r} is none of add, promote, remove, transfer"
+            reason = f"{request.change[:MAX_QUOTED_CHARS]!r} is none of add, promote, remove, transfer"
             raise RpcError(Code.INVALID_ARGUMENT, reason)
         with _errors_as_status(rejected=Code.FAILED_PRECONDITION):
             if change is None:
@@ -241,9 +241,10 @@
 
 @contextmanager
 def _errors_as_status(rejected: Code, superseded: str = "") -> Iterator[None]:
-    """Raise the errors of a node's operations as gRPC statuses.
+    """Convert the errors of a node's operations to gRPC statuses.
 
-    `rejected` is the code of a rejected request; `superseded` begins the text where another entry came first.
+    `rejected` is the status code for a rejected request; `superseded` is the message prefix for a superseded
+    entry.
     """
     try:
         yield
--- a/juniperreel/raft/snapshot_receiver.py
+++ b/juniperreel/raft/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""The follower's side of a snapshot transfer: collects the chunks and installs the whole."""
+"""Follower side of snapshot transfer: assembles the chunks and installs the snapshot."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class IncomingSnapshot:
-    """The part of a snapshot that has arrived."""
+    """A partially received snapshot."""
 
     index: int
     term: int
@@ -20,10 +20,10 @@
 
 
 class SnapshotReceiver:
-    """Owns the snapshot that is arriving and the one that waits to be handed to the state machine."""
+    """Owns the snapshot being received and the installed one that the state machine has not restored yet."""
 
     def __init__(self, state: NodeState, unstable: UnstableState) -> None:
-        """Installs snapshots into `state`, and notes in `unstable` what must be written."""
+        """Installs snapshots into `state` and registers them with `unstable` for persistence."""
         self._state = state
         self._unstable = unstable
         self._incoming: IncomingSnapshot | None = None
@@ -31,17 +31,17 @@
 
     @property
     def has_installed(self) -> bool:
-        """Whether a snapshot waits to be handed to the state machine."""
+        """Whether the state machine has yet to restore an installed snapshot."""
         return self._installed is not None
 
     def take_installed(self) -> Snapshot | None:
-        """The snapshot that the state machine must start again from, once."""
+        """Take the installed snapshot to restore the state machine from; it is returned once."""
         installed = self._installed
         self._installed = None
         return installed
 
     def on_chunk(self, chunk: SnapshotChunk) -> None:
-        """Add a chunk to the snapshot that is arriving, and install it with the last one."""
+        """Add a chunk to the snapshot being received; the last chunk installs it."""
         state = self._state
         if chunk.index <= state.commit_index:
             self._reply_done(chunk, state.commit_index)
@@ -51,7 +51,7 @@
         incoming = self._matching_incoming(chunk)
         received = len(incoming.data) if incoming is not None else 0
         if incoming is None or received != chunk.offset:
-            # The transfer was interrupted or the chunk came twice: the leader goes on from what is here.
+            # The transfer was interrupted or the chunk is a duplicate: the leader resumes from this offset.
             self._reply_received(chunk, received)
             return
         if received + len(chunk.data) > state.config.max_snapshot_bytes:
@@ -66,7 +66,7 @@
         self._reply_done(chunk, chunk.index)
 
     def _matching_incoming(self, chunk: SnapshotChunk) -> IncomingSnapshot | None:
-        """The snapshot that is arriving, if the chunk belongs to it."""
+        """The snapshot being received, if the chunk belongs to it."""
         incoming = self._incoming
         if incoming is None or (incoming.index, incoming.term) != (chunk.index, chunk.snapshot_term):
             return None
@@ -82,7 +82,10 @@
         state.send(AppendEntriesReply(state.name, chunk.src, state.term, accepted=True, index=match_index))
 
     def _install(self, snapshot: Snapshot) -> None:
-        """A log that holds the snapshot's last entry keeps what follows it (paper, figure 13, step 6)."""
+        """Install a snapshot.
+
+        If the log contains the snapshot's last entry, later entries are kept (paper, figure 13, step 6).
+        """
         state = self._state
         state.snapshot = snapshot
         self._installed = snapshot
--- a/juniperreel/raft/state.py
+++ b/juniperreel/raft/state.py
@@ -1,4 +1,4 @@
-"""The state of one node that its parts share. A plain record: it decides nothing."""
+"""State shared by the components of a node. Holds data only; the components implement the protocol."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(slots=True)
 class NodeState:
-    """Term, vote, log and role of one node, and the messages that wait to be handed out.
+    """Term, vote, log and role of one node, and its outgoing messages.
 
     Attributes:
         name: The node's own name.
-        config: Its limits and timing.
-        term: The newest term that it knows of.
-        vote: Whom it voted for in that term.
-        log: The entries in memory.
-        memberships: The memberships along the log.
-        snapshot: The newest snapshot, taken here or installed.
-        commit_index: The last entry known to be committed.
-        applied_index: The last entry handed out to be applied.
-        persisted_index: The last entry known to be on this node's disk.
-        role: What the node is in its term.
-        leader: The leader of its term, if known.
-        outbox: Messages to be handed out with the next `Ready`.
+        config: Limits and timing.
+        term: The current term.
+        vote: The candidate that it voted for in the current term, if any.
+        log: The in-memory log.
+        memberships: The membership at each index of the log.
+        snapshot: The latest snapshot, taken locally or installed from the leader.
+        commit_index: Index of the last entry known to be committed.
+        applied_index: Index of the last entry handed out for application.
+        persisted_index: Index of the last entry known to be durable on this node.
+        role: The node's role in the current term.
+        leader: The leader of the current term, if known.
+        outbox: Messages to hand out with the next `Ready`.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
     @classmethod
     def recover(cls, name: str, recovered: RecoveredState, config: RaftConfig) -> NodeState:
-        """The state of a node that starts with what its storage held."""
+        """The initial state of a node that starts from the contents of its storage."""
         snapshot = recovered.snapshot
         if recovered.compacted_index is None:
             log = RaftLog(snapshot.index, snapshot.term, recovered.entries)
@@ -77,12 +77,12 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads its term."""
+        """Whether this node is the leader of the current term."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node counts for a quorum."""
+        """Whether this node is a voter of the membership in force."""
         return self.name in self.membership.voters
 
     def send(self, message: Message) -> None:
--- a/juniperreel/raft/storage.py
+++ b/juniperreel/raft/storage.py
@@ -1,11 +1,11 @@
-"""Hard state, log and snapshots on disk, in lmdb: each write is one durable transaction, or none.
+"""Persistent storage of hard state, log and snapshots in lmdb. Each write is one durable transaction.
 
-A record that does not match its checksum was changed behind the program's back. Since it may have been
-acknowledged to others, it is never dropped silently: the directory is rejected with what to do. A torn write
-cannot show, as lmdb's transactions are atomic.
+A record that fails its checksum was corrupted or modified outside the program. It may have been acknowledged
+to other nodes, so it is never dropped silently: the directory is rejected, and the error names the remedy.
+Torn writes cannot occur, as lmdb's transactions are atomic.
 
-A directory belongs to one node of one cluster. An empty one no longer knows its vote: it is created only
-where the caller says so, and never taken for the old one (dissertation, 11.7.3).
+A directory belongs to one node of one cluster. An empty directory has lost the node's vote, so it is only
+initialized by an explicit `create`, never when an existing node is opened (dissertation, 11.7.3).
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     SnapshotMetadata,
     StoredHardState,
     decode_entry,
+    decode_record,
     encode_entry,
-    seal,
-    unseal,
+    encode_record,
 )
 from juniperreel.raft.types import Entry, HardState, Membership, RecoveredState, Snapshot
 
@@ -42,7 +42,7 @@
 MAIN_DATABASE = b"main"
 LOG_DATABASE = b"log"
 SNAPSHOT_DATABASE = b"snapshot"
-LEAST_FILE_BYTES = 2 * 4096  # lmdb's two meta pages
+MIN_FILE_BYTES = 2 * 4096  # lmdb's two meta pages
 
 Record = TypeVar("Record", DirectoryOwner, StoredHardState, SnapshotMetadata)
 
@@ -52,11 +52,11 @@
 
     Attributes:
         path: The directory.
-        owner: Whose directory it is.
+        owner: The cluster and node that the directory belongs to.
     """
 
     def __init__(self, environment: lmdb.Environment, path: Path, owner: DirectoryOwner) -> None:
-        """Use `create` or `open` instead, which check the directory."""
+        """Use `create` or `open` instead, which validate the directory."""
         self.path = path
         self.owner = owner
         self._environment = environment
@@ -70,11 +70,11 @@
     ) -> Storage:
         """Create a new directory.
 
-        `membership` is the first one of a new cluster, or empty for a node that will be added to one.
-        `map_bytes` bounds the size of the data file. Raises StorageError where there is a directory already.
+        `membership` is the initial membership of a new cluster, or empty for a node that will join one.
+        `map_bytes` limits the size of the data file. Raises StorageError if the directory already has one.
         """
         if (path / DATA_FILE).exists():
-            raise StorageError(path, "holds a node already; it is not created again")
+            raise StorageError(path, "already holds a node's data and is not overwritten")
         path.mkdir(parents=True, exist_ok=True)
         owner = DirectoryOwner(FORMAT, cluster, node)
         storage = Storage(open_environment(path, map_bytes), path, owner)
@@ -86,7 +86,7 @@
 
     @staticmethod
     def open(path: Path, cluster: str, node: str, map_bytes: int = MAP_BYTES) -> Storage:
-        """Open a directory. Raises StorageError for one that is empty, another's, or damaged."""
+        """Open a directory. Raises StorageError if it is empty, damaged, or belongs to another node."""
         data_file = path / DATA_FILE
         if not data_file.exists():
             raise StorageError(
@@ -107,7 +107,7 @@
         with self._environment.begin() as transaction:
             owner = self._get(transaction, OWNER_KEY, DirectoryOwner)
         if owner.format != FORMAT:
-            raise StorageError(self.path, f"has format {owner.format}; this program reads {FORMAT}")
+            raise StorageError(self.path, f"has format {owner.format}; this program supports format {FORMAT}")
         if owner != self.owner:
             raise StorageError(
                 self.path,
@@ -116,19 +116,19 @@
             )
 
     def close(self) -> None:
-        """Release the directory."""
+        """Close the data file."""
         self._environment.close()
 
     # Records.
 
     def _put(self, transaction: Any, key: bytes, data: bytes) -> None:
-        transaction.put(key, seal(key, data), db=self._main)
+        transaction.put(key, encode_record(key, data), db=self._main)
 
     def _get(self, transaction: Any, key: bytes, record_type: type[Record]) -> Record:
         record = transaction.get(key, db=self._main)
         if record is None or len(record) < CHECKSUM.size:
             raise DamagedDirectoryError(self.path, f"record {key.decode()} is missing", self.owner.node)
-        data = unseal(key, bytes(record))
+        data = decode_record(key, bytes(record))
         if data is None:
             raise DamagedDirectoryError(self.path, f"record {key.decode()} was changed", self.owner.node)
         try:
@@ -141,11 +141,11 @@
 
     def _put_entry(self, transaction: Any, entry: Entry) -> None:
         key = INDEX.pack(entry.index)
-        transaction.put(key, seal(key, encode_entry(entry)), db=self._log)
+        transaction.put(key, encode_record(key, encode_entry(entry)), db=self._log)
 
     def _read_entry(self, key: bytes, record: bytes) -> Entry:
         (index,) = INDEX.unpack(key)
-        data = unseal(key, record)
+        data = decode_record(key, record)
         entry = decode_entry(index, data) if data is not None else None
         if entry is None:
             raise DamagedDirectoryError(self.path, f"entry {index} was changed", self.owner.node)
@@ -154,7 +154,7 @@
     # Writing.
 
     def write(self, batch: PersistBatch) -> None:
-        """Write all of a batch, durably, or nothing. Raises DiskFullError."""
+        """Write a batch in one durable transaction. Raises DiskFullError and writes nothing if it fails."""
         try:
             with self._environment.begin(write=True) as transaction:
                 if batch.hard_state is not None:
@@ -166,8 +166,8 @@
                     for entry in batch.entries:
                         self._put_entry(transaction, entry)
         except (lmdb.MapFullError, lmdb.DiskError, OSError) as error:
-            may_pass = not isinstance(error, lmdb.MapFullError)
-            raise DiskFullError(self.path, str(error), may_pass) from error
+            transient = not isinstance(error, lmdb.MapFullError)
+            raise DiskFullError(self.path, str(error), transient) from error
 
     def _write_snapshot(self, transaction: Any, batch: PersistBatch, snapshot: Snapshot) -> None:
         compacted_index = snapshot.index
@@ -183,7 +183,7 @@
         self._put_snapshot(transaction, snapshot, compacted_index, compacted_term)
 
     def _term_at(self, transaction: Any, index: int) -> int | None:
-        """The term of a stored entry, or of the last compacted one."""
+        """The term of a stored entry or of the last compacted one, or None if it is neither."""
         metadata = self._get(transaction, SNAPSHOT_METADATA_KEY, SnapshotMetadata)
         key = INDEX.pack(index)
         record = transaction.get(key, db=self._log)
@@ -192,7 +192,7 @@
         return metadata.compacted_term if metadata.compacted_index == index else None
 
     def _delete_entries(self, transaction: Any, start: int, end: int | None) -> None:
-        """Delete entries from `start` to `end` included, or all from `start` on."""
+        """Delete the entries from `start` to `end`, inclusive, or all from `start` on if `end` is None."""
         cursor = transaction.cursor(db=self._log)
         found = cursor.set_range(INDEX.pack(start))
         while found and (end is None or INDEX.unpack(cursor.key())[0] <= end):
@@ -206,14 +206,14 @@
         chunks = [data[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)]
         for number, chunk in enumerate(chunks):
             key = INDEX.pack(number)
-            transaction.put(key, seal(key, chunk), db=self._chunks)
+            transaction.put(key, encode_record(key, chunk), db=self._chunks)
         metadata = SnapshotMetadata.of(snapshot, len(chunks), compacted_index, compacted_term)
         self._put(transaction, SNAPSHOT_METADATA_KEY, msgspec.msgpack.encode(metadata))
 
     # Reading.
 
     def recover(self) -> RecoveredState:
-        """All that the directory holds, checked. Raises StorageError."""
+        """Read and verify the contents of the directory. Raises StorageError."""
         with self._environment.begin() as transaction:
             hard_state = self._get(transaction, HARD_STATE_KEY, StoredHardState)
             metadata = self._get(transaction, SNAPSHOT_METADATA_KEY, SnapshotMetadata)
@@ -234,14 +234,14 @@
     def _read_chunk(self, transaction: Any, number: int) -> bytes:
         key = INDEX.pack(number)
         record = transaction.get(key, db=self._chunks)
-        data = unseal(key, bytes(record)) if record is not None else None
+        data = decode_record(key, bytes(record)) if record is not None else None
         if data is None:
             raise DamagedDirectoryError(self.path, "the snapshot was changed", self.owner.node)
         return data
 
 
 def open_environment(path: Path, map_bytes: int) -> lmdb.Environment:
-    """Open the data file of a directory, with a map that holds at least what is there."""
+    """Open a directory's data file with a map at least as large as the file."""
     data_file = path / DATA_FILE
     size = map_bytes
     if data_file.exists():
@@ -250,9 +250,9 @@
 
 
 def _open_existing(path: Path, node: str, map_bytes: int) -> lmdb.Environment:
-    """Open a data file that exists. Raises StorageError where it is damaged or in use."""
+    """Open an existing data file. Raises StorageError if it is damaged or in use."""
     data_file = path / DATA_FILE
-    if data_file.stat().st_size < LEAST_FILE_BYTES:
+    if data_file.stat().st_size < MIN_FILE_BYTES:
         raise DamagedDirectoryError(data_file, "is cut short", node)
     try:
         environment = open_environment(path, map_bytes)
@@ -264,7 +264,7 @@
             raise StorageError(data_file, "is in use") from error
         raise DamagedDirectoryError(data_file, f"cannot be read ({error})", node) from error
     if data_file.stat().st_size < needed_bytes:
-        # Reading past the end of a mapped file would kill the process with SIGBUS, without any message.
+        # Reading past the end of a memory-mapped file would kill the process with SIGBUS.
         environment.close()
         raise DamagedDirectoryError(data_file, "is cut short", node)
     return environment
--- a/juniperreel/raft/types.py
+++ b/juniperreel/raft/types.py
@@ -1,4 +1,4 @@
-"""The records that the parts of a node share. Nothing here decides anything."""
+"""Data types shared by the components of a node."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class EntryKind(Enum):
-    """What an entry of the log is for. The values are stored and sent."""
+    """The type of a log entry. The values are part of the wire and storage formats."""
 
     COMMAND = 0
-    NOOP = 1  # a leader's first entry in its term (dissertation, 6.4)
+    NOOP = 1  # the first entry of a leader's term (dissertation, 6.4)
     CONFIG = 2
 
 
 class Role(Enum):
-    """What a node is in its term. The values are shown to operators."""
+    """A node's role in the current term. The values are shown to operators."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the log. It is sent as a map of its fields, so the field names are part of the wire."""
+    """One log entry. It is encoded as a map, so the field names are part of the wire format."""
 
     term: int
     index: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """Where a proposed entry stands. It was committed only if the entry at `index` still has `term`."""
+    """Position of a proposed entry. It was committed only if the entry at `index` still has `term`."""
 
     term: int
     index: int
@@ -44,10 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """Who belongs to the group. It is sent as a map of its fields, so their names are part of the wire.
+    """The members of the group. Encoded as a map, so the field names are part of the wire format.
 
-    Learners receive the log and do not count for a quorum (dissertation, 4.2.1). Names in `retired` have left
-    and never come back: a node whose disk lost its vote must not return under a name that voted.
+    Learners receive the log but do not count towards a quorum (dissertation, 4.2.1). Names in `retired` were
+    removed and cannot be added again: a node that lost its disk, and with it its vote, must not rejoin under
+    a name that has voted.
     """
 
     voters: frozenset[str]
@@ -56,16 +57,16 @@
 
     @property
     def all(self) -> frozenset[str]:
-        """Everybody who receives the log: voters and learners."""
+        """All nodes that receive the log: voters and learners."""
         return self.voters | self.learners
 
     def quorum(self) -> int:
-        """The number of voters that make a majority."""
+        """The number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
 
 class MembershipChange(Enum):
-    """One step of membership (dissertation, 4.1): any quorum before it overlaps with any quorum after it."""
+    """A single-server membership change (dissertation, 4.1): old and new quorums always overlap."""
 
     ADD_LEARNER = "add-learner"
     PROMOTE = "promote"
@@ -74,9 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What must be on disk before a message that depends on it is sent (paper, figure 2).
+    """State that must be durable before a message that depends on it is sent (paper, figure 2).
 
-    `commit` need not be durable; it only saves work after a restart.
+    `commit` is not required for safety; it only shortens recovery after a restart.
     """
 
     term: int = 0
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state machine after `index`, and the membership in force there (paper, section 7)."""
+    """State machine state after `index` with the membership in force there (paper, section 7)."""
 
     index: int
     term: int
@@ -96,11 +97,10 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """What a node's storage held when it was opened; the core starts from it.
+    """The contents of a node's storage when it was opened; the core starts from it.
 
-    `compacted_index` and `compacted_term` belong to the entry before the first one in `entries`. They are
-    lower than the snapshot's where entries were kept behind it, and `compacted_index` is None where none
-    were.
+    `compacted_index` and `compacted_term` are those of the entry before the first one in `entries`. They are
+    lower than the snapshot's if entries were retained behind it; `compacted_index` is None if none were.
     """
 
     hard_state: HardState
@@ -112,9 +112,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftStatus:
-    """A node's view of itself and of its group.
+    """A node's status and its view of the group.
 
-    `match_indexes` is empty on all but a leader, where it tells what each follower is known to hold.
+    `match_indexes` is the match index of each follower on a leader, and empty on other nodes.
     """
 
     name: str
--- a/juniperreel/raft/unstable.py
+++ b/juniperreel/raft/unstable.py
@@ -1,4 +1,4 @@
-"""What has changed in memory and was not yet handed out to be written to disk."""
+"""State that has changed in memory and has not been handed out for persistence yet."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class UnstableState:
-    """Collects the next batch for the disk.
+    """Builds the next `PersistBatch`.
 
-    Invariant: entries below the next one to be handed out, and the hard state handed out last, are on disk or
-    on their way there.
+    Invariant: entries below `_next_index` and the hard state `_saved` are on disk or part of a batch that was
+    handed out.
     """
 
     def __init__(self, state: NodeState, saved: HardState) -> None:
-        """`saved` is the hard state that the disk holds."""
+        """`saved` is the hard state on disk."""
         self._state = state
         self._saved = saved
         self._next_index = state.log.last_index + 1
@@ -24,7 +24,7 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether anything must be written. A commit index alone does not count."""
+        """Whether a write is required. An advanced commit index alone does not require one."""
         return (
             self._snapshot is not None
             or self._next_index <= self._state.log.last_index
@@ -32,21 +32,21 @@
         )
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Have a snapshot written that leaves the log after it as it is."""
+        """Persist a snapshot and keep the log entries after it."""
         self._snapshot = snapshot
 
     def replace_log(self, snapshot: Snapshot) -> None:
-        """Have a snapshot written in place of the whole log."""
+        """Persist a snapshot that replaces the whole log."""
         self._snapshot = snapshot
         self._replaces_log = True
         self._next_index = snapshot.index + 1
 
     def truncate(self, start: int) -> None:
-        """Note that `start` and all after it were dropped from the log, so that they are written anew."""
+        """Record that the log was truncated from `start` on, so that later entries are written again."""
         self._next_index = min(self._next_index, start)
 
     def take_batch(self) -> PersistBatch:
-        """The next batch; what it holds counts as handed out from now on."""
+        """Take the next batch; its contents count as handed out from now on."""
         batch = PersistBatch()
         state = self._state
         hard_state = HardState(state.term, state.vote, state.commit_index)
@@ -61,7 +61,7 @@
             self._snapshot = None
             self._replaces_log = False
         if self._next_index <= state.log.last_index:
-            # What a snapshot covers may be gone from the log before it was ever written.
+            # Entries that the snapshot covers may have been compacted before they were ever written.
             first_index = max(self._next_index, state.log.first_index)
             batch.entries = state.log.slice(first_index, state.log.last_index)
             self._next_index = state.log.last_index + 1
--- a/juniperreel/raft/wire.py
+++ b/juniperreel/raft/wire.py
@@ -1,4 +1,4 @@
-"""The core's messages as bytes, their signature with the cluster's key, and nodes' addresses. No I/O."""
+"""Encoding and signing of the messages between nodes, and parsing of node addresses. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from juniperreel.raft.errors import InvalidNodeNameError, MalformedDataError
 from juniperreel.raft.messages import Message
 
-# The tag of each message on the wire. Never changed: nodes of two versions talk to each other.
+# Wire tags. They must not change: nodes of different versions exchange messages during an upgrade.
 TAGS: dict[type[Message], str] = {
     raft_messages.VoteRequest: "VoteRequest",
     raft_messages.VoteReply: "VoteReply",
@@ -23,18 +23,18 @@
     raft_messages.TimeoutNow: "TimeoutNow",
 }
 MESSAGE_TYPES: dict[str, type[Message]] = {tag: message_type for message_type, tag in TAGS.items()}
-MAX_MESSAGES = 1024  # in one call
+MAX_MESSAGES = 1024  # per call
 LENGTH_BYTES = 8
 MAX_PORT = 65535
 
 
 def encode(messages: Sequence[Message]) -> bytes:
-    """Messages as the bytes of one call."""
+    """Encode the messages of one call."""
     return msgspec.msgpack.encode([(TAGS[type(message)], message) for message in messages])
 
 
 def decode(data: bytes) -> list[Message]:
-    """The messages of one call. Raises MalformedDataError for other bytes."""
+    """Decode the messages of one call. Raises MalformedDataError."""
     try:
         tagged = msgspec.msgpack.decode(data, type=list[tuple[str, msgspec.Raw]])
     except msgspec.DecodeError as error:
@@ -55,9 +55,10 @@
 
 
 def sign(key: bytes, cluster: str, src: str, dst: str, data: bytes) -> bytes:
-    """The HMAC-SHA-256 of a call's bytes from `src` to `dst`.
+    """HMAC-SHA-256 over cluster, sender, receiver and payload of a call.
 
-    Each part goes in with its length, so that no two ways to split the same bytes have the same signature.
+    Each part is prefixed with its length, so that no two different splits of the same bytes have the same
+    signature.
     """
     mac = hmac.new(key, digestmod=hashlib.sha256)
     for part in (cluster.encode(), src.encode(), dst.encode(), data):
@@ -66,7 +67,7 @@
 
 
 def parse_address(name: str) -> tuple[str, int]:
-    """Host and port of a node's name, name@host:port. Raises InvalidNodeNameError."""
+    """Host and port from a node name of the form name@host:port. Raises InvalidNodeNameError."""
     _, at_sign, address = name.rpartition("@")
     host, colon, port = address.rpartition(":")
     if not at_sign or not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
