--- a/juniperreel/raft/client.py
+++ b/juniperreel/raft/client.py
@@ -122,7 +122,7 @@
         await trio.sleep(self._rng.uniform(*RETRY_PAUSE_S))
 
     async def propose(self, command: Command, attempts: int = DEFAULT_ATTEMPTS) -> Outcome:
-        """Apply a command exactly once, across retries. Raises the errors of `call_leader`."""
+        """Apply a command; retries do not apply it again. Raises the errors of `call_leader`."""
         request = pb.ProposeRequest(command=encode_command(command)).SerializeToString()
         response = pb.ProposeResponse.FromString(await self.call_leader("Propose", request, attempts))
         return Outcome(response.version, response.refusal)
--- a/juniperreel/raft/storage.py
+++ b/juniperreel/raft/storage.py
@@ -71,7 +71,7 @@
         """Create a new directory.
 
         `membership` is the initial membership of a new cluster, or empty for a node that will join one.
-        `map_bytes` limits the size of the data file. Raises StorageError if the directory already has one.
+        `map_bytes` limits the size of the data file. Raises StorageError if that file already exists.
         """
         if (path / DATA_FILE).exists():
             raise StorageError(path, "already holds a node's data and is not overwritten")
@@ -264,7 +264,7 @@
             raise StorageError(data_file, "is in use") from error
         raise DamagedDirectoryError(data_file, f"cannot be read ({error})", node) from error
     if data_file.stat().st_size < needed_bytes:
-        # Reading past the end of a memory-mapped file would kill the process with SIGBUS.
+        # Reading past the end of a memory-mapped file would kill the process with SIGBUS, without a message.
         environment.close()
         raise DamagedDirectoryError(data_file, "is cut short", node)
     return environment
