--- a/tests/raft/cluster.py
+++ b/tests/raft/cluster.py
@@ -1,4 +1,4 @@
-"""Instances on loopback in one trio run, with scripted partitions between them and towards clients."""
+"""A cluster of instances on loopback in one trio run, with scripted partitions between the instances."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ReservingNetwork(TcpNetwork):
-    """Listens on sockets that were opened beforehand, so that names hold their ports."""
+    """Listens on sockets opened in advance, so that instance names can contain their ports."""
 
     def __init__(self) -> None:
         self._reserved: dict[int, Listener] = {}
@@ -63,24 +63,24 @@
         self.log = make_log(stream=(folder / "log").open("w"))
         self.sequence = 0
 
-    async def name(self) -> str:
+    async def reserve_name(self) -> str:
         return f"c{len(self.names)}@127.0.0.1:{await self.network.reserve()}"
 
     async def start(self, count: int) -> None:
         for _ in range(count):
-            self.names.append(await self.name())
+            self.names.append(await self.reserve_name())
         for name in self.names:
             storage = Storage.create(
                 self.path(name), "test", name, Membership(frozenset(self.names)), 1 << 26
             )
-            await self.boot(name, storage)
-        self.client = self.instances_client()
+            await self.start_instance(name, storage)
+        self.client = self.client_of()
         await self.nursery.start(self.client.run)
 
     def path(self, name: str) -> Path:
         return self.folder / name.partition("@")[0]
 
-    async def boot(self, name: str, storage: Storage | None = None) -> Instance:
+    async def start_instance(self, name: str, storage: Storage | None = None) -> Instance:
         storage = storage or Storage.open(self.path(name), "test", name, 1 << 26)
         host, _, port = name.partition("@")[2].rpartition(":")
         settings = InstanceSettings(
@@ -119,9 +119,9 @@
         with trio.fail_after(5):
             await self.ended[name].wait()
 
-    def instances_client(self, names: list[str] | None = None) -> ConfigurationClient:
-        places = [("127.0.0.1", int(n.rpartition(":")[2])) for n in names or self.names]
-        return ConfigurationClient(self.network, self.clock, random.Random(len(self.records)), places)
+    def client_of(self, names: list[str] | None = None) -> ConfigurationClient:
+        addresses = [("127.0.0.1", int(n.rpartition(":")[2])) for n in names or self.names]
+        return ConfigurationClient(self.network, self.clock, random.Random(len(self.records)), addresses)
 
     def partition(self, *side: str) -> None:
         others = set(self.instances) - set(side)
@@ -130,7 +130,7 @@
     def heal(self) -> None:
         self.partitions = set()
 
-    async def leader(self, among: list[str] | None = None) -> str:
+    async def wait_for_leader(self, among: list[str] | None = None) -> str:
         with trio.fail_after(15):
             while True:
                 for name in among or self.names:
@@ -143,38 +143,38 @@
         self.sequence += 1
         return Command(client, self.sequence, list(changes), expect)
 
-    async def set(self, *changes: Any, tries: int = 60) -> Outcome:
-        """Proposes until it is confirmed, and records what the confirmed version holds."""
+    async def apply_changes(self, *changes: Any, tries: int = 60) -> Outcome:
+        """Proposes a command with retries, and records the confirmed version and its contents."""
         outcome = await self.client.propose(self.command(*changes), tries)
         assert not outcome.rejection, outcome.rejection
-        await self.confirm()
+        await self.record_current_version()
         return outcome
 
-    async def confirm(self) -> Configuration:
+    async def record_current_version(self) -> Configuration:
         now = await self.client.get()
         self.records.append(VersionConfirmed(self.clock.now_us(), now.version, digest(now)))
         return now
 
     async def seed(self) -> None:
         member = MemberInfo(0, "127.0.0.1", 1000)
-        await self.set(
+        await self.apply_changes(
             SetGroup(0, GroupInfo(1, "m0")),
             SetMember("m0", member),
             SetMember("m1", member),
             SetLimit("edges", 3),
         )
 
-    async def watcher(self, name: str, names: list[str] | None = None) -> None:
-        client = self.instances_client(names)
+    async def start_watcher(self, name: str, names: list[str] | None = None) -> None:
+        client = self.client_of(names)
         await self.nursery.start(client.run)
 
         def on_version(configuration: Configuration) -> None:
-            acted = VersionApplied(self.clock.now_us(), name, configuration.version, digest(configuration))
-            self.records.append(acted)
+            applied = VersionApplied(self.clock.now_us(), name, configuration.version, digest(configuration))
+            self.records.append(applied)
 
         self.nursery.start_soon(client.watch, name, model.EMPTY, on_version)
 
-    async def all_at(self, version: int, watchers: int) -> None:
+    async def wait_until_all_at(self, version: int, watchers: int) -> None:
         with trio.fail_after(15):
             while (
                 len({r.node for r in self.records if isinstance(r, VersionApplied) and r.version >= version})
--- a/tests/raft/mutations.py
+++ b/tests/raft/mutations.py
@@ -1,4 +1,4 @@
-"""Bugs planted in the core, one each, to prove that the scheduler and the judge would see them."""
+"""Variants of the core with one injected bug each, to verify that schedules and checker detect them."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 )
 
 
-class RandomFaultCore(RaftCore):
-    """A core whose fault is drawn from the same source as its timeouts."""
+class RandomizedBugCore(RaftCore):
+    """A core whose bug occurs at random, drawn from the same source as its timeouts."""
 
     def __init__(self, name: str, recovered: RecoveredState, config: RaftConfig, rng: random.Random) -> None:
         super().__init__(name, recovered, config, rng)
@@ -46,19 +46,19 @@
 
 
 class VotesTwice(RaftCore):
-    """Grants a vote whatever it voted before."""
+    """Grants votes regardless of its earlier vote in the term."""
 
-    class FaultyElection(Election):
+    class BuggyElection(Election):
         def on_vote_request(self, request: VoteRequest) -> None:
             if not request.pre_vote:
                 self._state.vote = None
                 self._state.leader = None
             super().on_vote_request(request)
 
-    election_class = FaultyElection
+    election_class = BuggyElection
 
 
-class ForgetsItsVote(RaftCore):
+class DoesNotPersistVote(RaftCore):
     """Does not persist term and vote."""
 
     def take_ready(self) -> Ready:
@@ -67,8 +67,8 @@
         return ready
 
 
-class SendsBeforePersisting(RandomFaultCore):
-    """Entries are acknowledged and lost with the next crash."""
+class AcknowledgesBeforePersisting(RandomizedBugCore):
+    """Acknowledges entries that were not persisted, so that the next crash loses them."""
 
     def take_ready(self) -> Ready:
         ready = super().take_ready()
@@ -79,22 +79,22 @@
 
 
 def match_index_of(replication: Replication, quorum: int) -> int:
-    """The highest index that so many voters hold."""
+    """The highest index that `quorum` voters have."""
     state = replication._state
     indexes = replication.match_indexes() | {state.name: state.persisted_index}
     return sorted((indexes[name] for name in state.membership.voters), reverse=True)[quorum - 1]
 
 
-class CommitsOldTermsByCount(RaftCore):
-    """Figure 8 of the paper: an entry of an earlier term is committed because a quorum holds it."""
+class CommitsEntriesOfEarlierTerms(RaftCore):
+    """Commits an entry of an earlier term by counting replicas (paper, figure 8)."""
 
-    class FaultyReplication(Replication):
+    class BuggyReplication(Replication):
         def advance_commit(self) -> bool:
             index = match_index_of(self, self._state.membership.quorum())
             self._state.commit_index = max(self._state.commit_index, index)
             return super().advance_commit()
 
-    replication_class = FaultyReplication
+    replication_class = BuggyReplication
 
     def _become_leader(self) -> None:
         super()._become_leader()
@@ -102,7 +102,7 @@
             self._drop_first_entry_of_term()
 
     def _drop_first_entry_of_term(self) -> None:
-        """Without the entry of its own term that hides the bug."""
+        """Remove the no-op entry of the new term, which would hide the bug."""
         self.log.truncate(self.log.last_index)
         self._unstable.truncate(self.log.last_index + 1)
         self._replication._term_start_index = self.log.last_index + 1
@@ -114,9 +114,9 @@
 
 
 class CommitsWithoutQuorum(RaftCore):
-    """One copy less than a quorum is enough for it."""
+    """Commits entries that are one replica short of a quorum."""
 
-    class FaultyReplication(Replication):
+    class BuggyReplication(Replication):
         def advance_commit(self) -> bool:
             state = self._state
             if len(state.membership.voters) > 1:
@@ -125,26 +125,26 @@
                     state.commit_index = max(state.commit_index, index)
             return super().advance_commit()
 
-    replication_class = FaultyReplication
+    replication_class = BuggyReplication
 
 
-class IgnoresOlderLogs(RaftCore):
-    """Votes for candidates whose log is older than its own."""
+class VotesForStaleLogs(RaftCore):
+    """Votes for candidates whose log is not up to date."""
 
-    class FaultyElection(Election):
+    class BuggyElection(Election):
         def on_vote_request(self, request: VoteRequest) -> None:
             last_index = request.last_index + 1000
             super().on_vote_request(
                 msgspec.structs.replace(request, last_index=last_index, last_term=1 << 40)
             )
 
-    election_class = FaultyElection
+    election_class = BuggyElection
 
 
-class SkipsTheMatchCheck(RaftCore):
-    """Takes entries without looking at the one before them."""
+class SkipsPreviousEntryCheck(RaftCore):
+    """Appends entries without checking the term of the previous entry."""
 
-    class FaultyReceiver(AppendReceiver):
+    class BuggyReceiver(AppendReceiver):
         def on_append_entries(self, message: AppendEntries) -> None:
             term = self._state.log.term_at(message.prev_index)
             differs = term is not None and term != message.prev_term
@@ -152,23 +152,23 @@
                 message = msgspec.structs.replace(message, prev_term=term)
             super().on_append_entries(message)
 
-    append_receiver_class = FaultyReceiver
+    append_receiver_class = BuggyReceiver
 
 
-class KeepsConflicts(RaftCore):
-    """Leaves an entry of another term where the leader sends its own."""
+class KeepsConflictingEntries(RaftCore):
+    """Does not truncate entries that conflict with the leader's."""
 
-    class FaultyReceiver(AppendReceiver):
+    class BuggyReceiver(AppendReceiver):
         def _truncate(self, start: int) -> None:
             pass
 
-    append_receiver_class = FaultyReceiver
+    append_receiver_class = BuggyReceiver
 
 
-class CommitsWhatItDoesNotHold(RaftCore):
-    """Takes the leader's commit index beyond what the message vouches for."""
+class CommitsBeyondLastNewEntry(RaftCore):
+    """Advances the commit index beyond the last entry of the message."""
 
-    class FaultyReceiver(AppendReceiver):
+    class BuggyReceiver(AppendReceiver):
         def on_append_entries(self, message: AppendEntries) -> None:
             super().on_append_entries(message)
             state = self._state
@@ -176,13 +176,13 @@
                 beyond = min(message.commit_index + 1, state.log.last_index)
                 state.commit_index = max(state.commit_index, beyond)
 
-    append_receiver_class = FaultyReceiver
+    append_receiver_class = BuggyReceiver
 
 
-class CountsUnpersistedEntries(RandomFaultCore):
-    """The leader's own copy counts before it is on disk."""
+class CountsUnpersistedEntries(RandomizedBugCore):
+    """Counts the leader's own copy towards a quorum before it is durable."""
 
-    class FaultyReplication(Replication):
+    class BuggyReplication(Replication):
         on_append: Callable[[], None]
 
         def append(self, kind: EntryKind, data: bytes) -> Entry:
@@ -191,11 +191,11 @@
             self.on_append()
             return entry
 
-    replication_class = FaultyReplication
+    replication_class = BuggyReplication
 
     def __init__(self, name: str, recovered: RecoveredState, config: RaftConfig, rng: random.Random) -> None:
         super().__init__(name, recovered, config, rng)
-        assert isinstance(self._replication, self.FaultyReplication)
+        assert isinstance(self._replication, self.BuggyReplication)
         self._replication.on_append = self._advance_commit
 
     def take_ready(self) -> Ready:
@@ -205,28 +205,28 @@
         return ready
 
 
-class ReadsWithoutAsking(RaftCore):
-    """A leader answers reads without hearing from a quorum that it still leads."""
+class ReadsWithoutQuorum(RaftCore):
+    """Answers reads without confirming the leadership with a quorum."""
 
-    class FaultyReadIndex(ReadIndex):
+    class BuggyReadIndex(ReadIndex):
         def _start(self, context: int) -> None:
             self._confirmed.append(ReadState(context, self._state.commit_index))
 
-    read_index_class = FaultyReadIndex
+    read_index_class = BuggyReadIndex
 
 
-class ReadsBeforeItsTermCommits(RaftCore):
-    """A fresh leader answers reads from a commit index that may lag behind the one before."""
+class ReadsBeforeCommitInTerm(RaftCore):
+    """A new leader answers reads from a commit index that may be older than its predecessor's."""
 
-    class FaultyReadIndex(ReadIndex):
+    class BuggyReadIndex(ReadIndex):
         def request(self, context: int) -> None:
             self._start(context)
 
-    read_index_class = FaultyReadIndex
+    read_index_class = BuggyReadIndex
 
 
-class ChangesTwoAtOnce(RaftCore):
-    """Begins a change of membership while another one is not committed, of any size."""
+class AllowsConcurrentMembershipChanges(RaftCore):
+    """Allows a membership change while another is uncommitted, and changes of more than one voter."""
 
     def change_membership(self, change: MembershipChange, name: str) -> LogPosition:
         self._require_leadership()
@@ -242,7 +242,7 @@
         return self._append_membership(membership)
 
 
-class TakesTermsOfOldReplies(RaftCore):
+class AcceptsStaleVoteReplies(RaftCore):
     """Counts vote replies of an earlier term."""
 
     def step(self, message: Message) -> None:
@@ -251,8 +251,8 @@
         super().step(message)
 
 
-class TakesOldLeaders(RaftCore):
-    """Follows messages of an earlier term."""
+class AcceptsStaleLeaders(RaftCore):
+    """Follows a leader of an earlier term."""
 
     def step(self, message: Message) -> None:
         is_old = isinstance(message, AppendEntries) and message.term < self.term
@@ -261,8 +261,8 @@
         super().step(message)
 
 
-class BelievesReplies(RaftCore):
-    """Takes any reply's index for what the follower holds, even a rejection's."""
+class TrustsRejectedReplies(RaftCore):
+    """Takes the index of a rejected append for the follower's match index."""
 
     def _on_append_reply(self, reply: AppendEntriesReply) -> None:
         if not reply.accepted:
@@ -270,10 +270,10 @@
         super()._on_append_reply(reply)
 
 
-class MixesSnapshots(RaftCore):
-    """Takes a chunk wherever it falls."""
+class AcceptsNonContiguousChunks(RaftCore):
+    """Accepts snapshot chunks at any offset, which mixes data of different transfers."""
 
-    class FaultyReceiver(SnapshotReceiver):
+    class BuggyReceiver(SnapshotReceiver):
         def on_chunk(self, chunk: SnapshotChunk) -> None:
             incoming = self._incoming
             if incoming is not None and chunk.offset and len(incoming.data) != chunk.offset:
@@ -282,11 +282,11 @@
                 self._incoming = IncomingSnapshot(chunk.index, chunk.snapshot_term, data)
             super().on_chunk(chunk)
 
-    snapshot_receiver_class = FaultyReceiver
+    snapshot_receiver_class = BuggyReceiver
 
 
-class ForgetsAppliedSnapshots(RaftCore):
-    """Does not hand an installed snapshot to the state machine."""
+class DropsInstalledSnapshots(RaftCore):
+    """Hands an empty snapshot to the state machine in place of the installed one."""
 
     def take_ready(self) -> Ready:
         ready = super().take_ready()
@@ -297,13 +297,13 @@
 
 
 def ignore_heartbeat(progress: Progress) -> None:
-    """In place of what makes room for another message."""
+    """Replacement for `Progress.on_heartbeat` that frees no in-flight slot."""
 
 
 class NeverRetransmits(RaftCore):
-    """A lost message is never sent again: safe, and stuck."""
+    """Never retransmits a lost message: safe, but makes no progress."""
 
-    class FaultyReplication(Replication):
+    class BuggyReplication(Replication):
         def send_heartbeats(self) -> None:
             on_heartbeat = Progress.on_heartbeat
             Progress.on_heartbeat = ignore_heartbeat  # type: ignore[assignment, method-assign]
@@ -312,30 +312,30 @@
             finally:
                 Progress.on_heartbeat = on_heartbeat  # type: ignore[method-assign]
 
-    replication_class = FaultyReplication
+    replication_class = BuggyReplication
 
 
 MUTATIONS: list[type[RaftCore]] = [
     VotesTwice,
-    ForgetsItsVote,
-    SendsBeforePersisting,
-    CommitsOldTermsByCount,
+    DoesNotPersistVote,
+    AcknowledgesBeforePersisting,
+    CommitsEntriesOfEarlierTerms,
     CommitsWithoutQuorum,
-    IgnoresOlderLogs,
-    SkipsTheMatchCheck,
-    KeepsConflicts,
-    CommitsWhatItDoesNotHold,
+    VotesForStaleLogs,
+    SkipsPreviousEntryCheck,
+    KeepsConflictingEntries,
+    CommitsBeyondLastNewEntry,
     CountsUnpersistedEntries,
-    ReadsWithoutAsking,
-    ReadsBeforeItsTermCommits,
-    ChangesTwoAtOnce,
-    TakesTermsOfOldReplies,
-    TakesOldLeaders,
-    BelievesReplies,
-    MixesSnapshots,
-    ForgetsAppliedSnapshots,
+    ReadsWithoutQuorum,
+    ReadsBeforeCommitInTerm,
+    AllowsConcurrentMembershipChanges,
+    AcceptsStaleVoteReplies,
+    AcceptsStaleLeaders,
+    TrustsRejectedReplies,
+    AcceptsNonContiguousChunks,
+    DropsInstalledSnapshots,
     NeverRetransmits,
 ]
 
-# Bugs that need longer than most.
-SEEDS = {"ReadsWithoutAsking": 200, "TakesOldLeaders": 400, "MixesSnapshots": 500}
+# Number of seeds for bugs that take longer than the default to detect.
+SEED_COUNTS = {"ReadsWithoutQuorum": 200, "AcceptsStaleLeaders": 400, "AcceptsNonContiguousChunks": 500}
--- a/tests/raft/test_configuration.py
+++ b/tests/raft/test_configuration.py
@@ -1,4 +1,4 @@
-"""Versions and commands: the same everywhere, checked, applied once."""
+"""Configuration versions and commands: deterministic, validated, and applied once."""
 
 from __future__ import annotations
 
@@ -50,67 +50,71 @@
 )
 
 
-def ready() -> ConfigurationStateMachine:
-    made = ConfigurationStateMachine()
-    done = made.apply(
+def seeded_machine() -> ConfigurationStateMachine:
+    machine = ConfigurationStateMachine()
+    outcome = machine.apply(
         encode_command(
             Command(
                 "seed", 1, [SetGroup(0, GroupInfo(1, "a")), SetMember("a", MEMBER), SetMember("b", MEMBER)]
             )
         )
     )
-    assert not done.rejection
-    return made
+    assert not outcome.rejection
+    return machine
 
 
-def refusal(*changes: ConfigurationChange) -> str:
-    made = ready()
-    before = made.current.version
-    outcome = made.apply(encode_command(Command("t", 1, list(changes))))
+def rejection_of(*changes: ConfigurationChange) -> str:
+    machine = seeded_machine()
+    before = machine.current.version
+    outcome = machine.apply(encode_command(Command("t", 1, list(changes))))
     assert outcome.version == before + (not outcome.rejection)
     return outcome.rejection
 
 
 @given(st.lists(commands, max_size=30))
-def test_state_machines_after_the_same_commands_agree_and_hold_valid_versions(listed: list[Command]) -> None:
-    one, two = ready(), ready()
-    for command in listed:
-        before = one.current
-        outcome = one.apply(encode_command(command))
-        assert two.apply(encode_command(command)) == outcome
-        assert validation.find_violations(one.current) == []
-        assert one.current.version in (before.version, before.version + 1)
-        if one.current.version > before.version:
-            assert validation.find_transition_violations(before, one.current) == []
-            patched = model.apply_delta(before, model.encode_delta(before, one.current))
-            assert patched.members == one.current.members
-    assert one.snapshot() == two.snapshot()
-    three = ConfigurationStateMachine()
-    three.restore(one.snapshot())
-    assert three.current == one.current
-    assert three.snapshot() == one.snapshot()
+def test_state_machines_after_the_same_commands_agree_and_hold_valid_versions(
+    command_list: list[Command],
+) -> None:
+    first, second = seeded_machine(), seeded_machine()
+    for command in command_list:
+        before = first.current
+        outcome = first.apply(encode_command(command))
+        assert second.apply(encode_command(command)) == outcome
+        assert validation.find_violations(first.current) == []
+        assert first.current.version in (before.version, before.version + 1)
+        if first.current.version > before.version:
+            assert validation.find_transition_violations(before, first.current) == []
+            patched = model.apply_delta(before, model.encode_delta(before, first.current))
+            assert patched.members == first.current.members
+    assert first.snapshot() == second.snapshot()
+    restored = ConfigurationStateMachine()
+    restored.restore(first.snapshot())
+    assert restored.current == first.current
+    assert restored.snapshot() == first.snapshot()
 
 
 @given(commands)
 def test_command_applied_twice_changes_the_state_once(command: Command) -> None:
-    made = ready()
-    first = made.apply(encode_command(command))
-    state = made.snapshot()
-    assert made.apply(encode_command(command)) == first
-    assert made.snapshot() == state
+    machine = seeded_machine()
+    first = machine.apply(encode_command(command))
+    state = machine.snapshot()
+    assert machine.apply(encode_command(command)) == first
+    assert machine.snapshot() == state
 
 
 def test_command_with_an_older_sequence_is_rejected_and_sessions_are_bounded() -> None:
-    made = ready()
-    made.apply(encode_command(Command("x", 5, [SetLimit("attempts", 2)])))
-    assert "older than 5" in made.apply(encode_command(Command("x", 4, [SetLimit("attempts", 3)]))).rejection
+    machine = seeded_machine()
+    machine.apply(encode_command(Command("x", 5, [SetLimit("attempts", 2)])))
+    assert (
+        "older than 5" in machine.apply(encode_command(Command("x", 4, [SetLimit("attempts", 3)]))).rejection
+    )
     for n in range(state_machine.MAX_CLIENTS + 20):
-        made.apply(encode_command(Command(f"c{n}", 1, [SetLimit("attempts", 1 + n)])))
-    assert len(made.current.clients) == state_machine.MAX_CLIENTS
+        machine.apply(encode_command(Command(f"c{n}", 1, [SetLimit("attempts", 1 + n)])))
+    assert len(machine.current.clients) == state_machine.MAX_CLIENTS
 
 
 @pytest.mark.parametrize(
-    ("listed", "reason"),
+    ("command_list", "reason"),
     [
         ([SetGroup(0, GroupInfo(0, "a"))], "older"),
         ([SetGroup(0, GroupInfo(1, "b"))], "newer epoch"),
@@ -134,47 +138,47 @@
     ids=lambda v: v if isinstance(v, str) else "",
 )
 def test_command_with_one_invalid_change_is_rejected_as_a_whole(
-    listed: list[ConfigurationChange], reason: str
+    command_list: list[ConfigurationChange], reason: str
 ) -> None:
-    assert reason in refusal(SetLimit("attempts", 4), *listed)
+    assert reason in rejection_of(SetLimit("attempts", 4), *command_list)
 
 
 def test_promotion_and_drain_in_one_command_are_accepted() -> None:
-    assert not refusal(SetGroup(0, GroupInfo(2, "b")), SetState("a", "draining"))
-    # One command that does both jumps over the drain as well.
-    assert "drain and go" in refusal(SetState("b", "gone"), RemoveMember("b"))
+    assert not rejection_of(SetGroup(0, GroupInfo(2, "b")), SetState("a", "draining"))
+    # A single command with both changes would skip the drain.
+    assert "drain and go" in rejection_of(SetState("b", "gone"), RemoveMember("b"))
 
 
 def test_member_that_comes_back_without_a_newer_start_is_rejected() -> None:
-    made = ready()
-    made.apply(encode_command(Command("t", 1, [SetState("b", "gone", 5)])))
-    assert "rule 4" in made.apply(encode_command(Command("t", 2, [SetState("b", "up", 5)]))).rejection
-    assert not made.apply(encode_command(Command("t", 3, [SetState("b", "up", 6)]))).rejection
+    machine = seeded_machine()
+    machine.apply(encode_command(Command("t", 1, [SetState("b", "gone", 5)])))
+    assert "rule 4" in machine.apply(encode_command(Command("t", 2, [SetState("b", "up", 5)]))).rejection
+    assert not machine.apply(encode_command(Command("t", 3, [SetState("b", "up", 6)]))).rejection
 
 
 @given(st.binary(max_size=200))
-def test_decoding_of_random_bytes_raises_and_changes_nothing(noise: bytes) -> None:
-    made = ready()
-    state = made.snapshot()
-    assert made.apply(noise).rejection
-    assert made.snapshot() == state
-    for read in (model.decode, lambda data: model.apply_delta(made.current, data)):
+def test_decoding_of_random_bytes_raises_and_changes_nothing(payload: bytes) -> None:
+    machine = seeded_machine()
+    state = machine.snapshot()
+    assert machine.apply(payload).rejection
+    assert machine.snapshot() == state
+    for read in (model.decode, lambda data: model.apply_delta(machine.current, data)):
         with pytest.raises(MalformedDataError):
-            read(noise)
+            read(payload)
 
 
 def test_decoding_of_another_format_or_a_gap_raises() -> None:
-    made = ready()
-    flat = msgspec.msgpack.decode(made.snapshot())
+    machine = seeded_machine()
+    fields = msgspec.msgpack.decode(machine.snapshot())
     with pytest.raises(ValueError, match="format 9"):
-        model.decode(msgspec.msgpack.encode(flat | {"format": 9}))
+        model.decode(msgspec.msgpack.encode(fields | {"format": 9}))
     with pytest.raises(ValueError, match="does not fit"):
-        model.apply_delta(made.current, model.encode_delta(model.EMPTY, made.current))
+        model.apply_delta(machine.current, model.encode_delta(model.EMPTY, machine.current))
 
 
 def test_new_version_shares_unchanged_sections_with_the_old_one() -> None:
-    made = ready()
-    before = made.current
-    made.apply(encode_command(Command("t", 1, [SetLimit("attempts", 4)])))
-    assert made.current.members is before.members
-    assert made.current.limits is not before.limits
+    machine = seeded_machine()
+    before = machine.current
+    machine.apply(encode_command(Command("t", 1, [SetLimit("attempts", 4)])))
+    assert machine.current.members is before.members
+    assert machine.current.limits is not before.limits
--- a/tests/raft/test_core.py
+++ b/tests/raft/test_core.py
@@ -1,4 +1,4 @@
-"""The core driven by messages and ticks, step by step, and by schedules of faults as a whole."""
+"""The core, driven step by step with messages and ticks, and by seeded schedules of faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ScriptedGroup:
-    """Some nodes with disks, and a network whose faults the test decides."""
+    """A group of nodes with in-memory disks and a network whose faults the test controls."""
 
     def __init__(self, *names: str, config: RaftConfig = CONFIG) -> None:
         self.config = config
@@ -34,15 +34,15 @@
         self.reads: list[tuple[str, int, int]] = []
         self.partitioned: set[str] = set()
         for n in names:
-            self.boot(n)
+            self.restart(n)
 
-    def boot(self, name: str, disk: InMemoryStorage | None = None) -> RaftCore:
+    def restart(self, name: str, disk: InMemoryStorage | None = None) -> RaftCore:
         self.disks[name] = disk or self.disks.get(name) or InMemoryStorage(Membership(frozenset()))
         self.cores[name] = RaftCore(name, self.disks[name].recover(), self.config, random.Random(name))
         self.applied[name] = [s for s in self.disks[name].snapshot.data.split(b"\0") if s]
         return self.cores[name]
 
-    def settle(self, name: str) -> Ready | None:
+    def process_ready(self, name: str) -> Ready | None:
         core, ready = self.cores[name], None
         while core.has_ready():
             ready = core.take_ready()
@@ -55,26 +55,27 @@
             self.reads += [(name, read.context, read.index) for read in ready.read_states]
         return ready
 
-    def pump(self, drop: Callable[[Message], bool] = lambda _message: False) -> None:
+    def deliver_messages(self, drop: Callable[[Message], bool] = lambda _message: False) -> None:
         for name in self.cores:
-            self.settle(name)
+            self.process_ready(name)
         for _ in range(10_000):
             if not self.network:
                 return
             m = self.network.pop(0)
             if m.dst in self.cores and not {m.src, m.dst} & self.partitioned and not drop(m):
                 self.cores[m.dst].step(m)
-                self.settle(m.dst)
+                self.process_ready(m.dst)
 
     def elect(self, name: str) -> RaftCore:
         core = self.cores[name]
         for other, other_core in self.cores.items():
-            if other != name and other not in self.partitioned:  # these have heard of no leader for long
+            # Without a recent leader, they grant votes.
+            if other != name and other not in self.partitioned:
                 other_core._election.elapsed_ticks = self.config.election_ticks
         for _ in range(2 * self.config.election_ticks):
             if core.role is Role.FOLLOWER:
                 core.tick()
-        self.pump()
+        self.deliver_messages()
         assert core.is_leader
         return core
 
@@ -82,12 +83,12 @@
         for _ in range(count):
             for name in names or tuple(self.cores):
                 self.cores[name].tick()
-                self.pump()
+                self.deliver_messages()
 
     def propose(self, name: str, *commands: bytes) -> None:
         for c in commands:
             self.cores[name].propose(c)
-        self.pump()
+        self.deliver_messages()
 
 
 def test_command_proposed_to_a_leader_is_applied_on_all_nodes() -> None:
@@ -99,20 +100,20 @@
 
 
 def test_entries_taken_together_with_a_snapshot_below_them_are_all_persisted() -> None:
-    """Danger: what is acknowledged and not on disk is gone with the next restart."""
+    """Guards against acknowledged entries that are not persisted and so lost in the next restart."""
     group = ScriptedGroup("a", "b", "c")
     core = group.cores["b"]
     entries = tuple(Entry(1, index, EntryKind.COMMAND, b"%d" % index) for index in range(1, 9))
     core.step(AppendEntries("a", "b", 1, 0, 0, entries, 0))
     core.step(SnapshotChunk("a", "b", 1, 3, 1, group.members, 0, b"1\x002\x003", last=True))
-    group.settle("b")
+    group.process_ready("b")
     assert any(getattr(reply, "index", 0) == 8 for reply in group.network)  # acknowledged
-    restored = group.boot("b")
+    restored = group.restart("b")
     assert [entry.index for entry in restored.log.entries] == [4, 5, 6, 7, 8]
 
 
 def test_vote_is_to_be_persisted_before_its_reply_is_sent() -> None:
-    """What a Ready sends is only handed out together with what it depends on."""
+    """A vote reply must be in the same Ready as the hard state that it depends on."""
     group = ScriptedGroup("a", "b", "c")
     core = group.cores["b"]
     core.step(VoteRequest("a", "b", 1, 0, 0))
@@ -131,13 +132,13 @@
     group.propose("a", b"kept")
     group.partitioned = {"a", "b"}
     lost = [group.cores["a"].propose(b"lost") for _ in range(3)]
-    group.pump()
+    group.deliver_messages()
     group.elect("c")
     group.propose("c", b"new")
     group.partitioned = set()
     group.ticks(30)
     assert all(applied == [b"kept", b"new"] for applied in group.applied.values())
-    for position in lost:  # whoever proposed them can tell that the outcome was another's
+    for position in lost:  # their proposers can tell that they were superseded
         assert group.cores["a"].log.term_at(position.index) != position.term
 
 
@@ -155,10 +156,10 @@
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.cores["a"].propose(b"x")
-    group.settle("a")
-    for m in [m for m in group.network if m.dst == "b"]:  # only b hears of it, and a never learns that
+    group.process_ready("a")
+    for m in [m for m in group.network if m.dst == "b"]:  # only b receives it, and a never learns that
         group.cores["b"].step(m)
-    group.settle("b")
+    group.process_ready("b")
     group.network.clear()
     group.partitioned = {"a"}
     group.elect("b")
@@ -171,18 +172,18 @@
     group = ScriptedGroup("a", "b", "c", "d", "e")
     group.elect("a")
     group.cores["a"].propose(b"old")
-    group.settle("a")
+    group.process_ready("a")
     for m in [m for m in group.network if m.dst == "b"]:
         group.cores["b"].step(m)
-    group.settle("b")
+    group.process_ready("b")
     group.network.clear()
-    group.boot("a")
+    group.restart("a")
     leader = group.elect("b")  # holds the entry of term 1
     assert leader.term > 1
     fresh = ScriptedGroup("a", "b", "c")
     core = fresh.elect("a")
     before = core.commit_index
-    core.state.term += 1  # as if elected again, with nothing of the new term in its log
+    core.state.term += 1  # as if re-elected without an entry of the new term
     for progress in core._replication._progress.values():
         progress.match_index = core.log.last_index
     core.state.commit_index = before - 1
@@ -202,7 +203,7 @@
     group.partitioned = set()
     group.ticks(5, "b")
     group.cores["b"].read_index(8)
-    group.pump()
+    group.deliver_messages()
     (read,) = group.reads
     assert read[:2] == ("b", 8)
     assert group.cores["b"].log.slice(read[2], read[2])[0].data in (b"new", b"")
@@ -227,12 +228,12 @@
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.cores["a"].change_membership(MembershipChange.REMOVE, "c")
-    group.pump(drop=lambda m: m.dst == "c")  # it never learns
+    group.deliver_messages(drop=lambda m: m.dst == "c")  # it never learns of its removal
     term = group.cores["a"].term
     for _ in range(60):
         group.cores["c"].tick()
         group.cores["a"].tick()
-        group.pump()
+        group.deliver_messages()
     assert group.cores["a"].is_leader
     assert group.cores["a"].term == term
 
@@ -254,7 +255,7 @@
     core = group.cores["a"]
     for _ in range(20):
         core.tick()
-    group.pump(drop=lambda m: isinstance(m, AppendEntries))
+    group.deliver_messages(drop=lambda m: isinstance(m, AppendEntries))
     assert core.is_leader
     with pytest.raises(RequestRejectedError, match="nothing in its term"):
         core.change_membership(MembershipChange.ADD_LEARNER, "d")
@@ -262,14 +263,14 @@
     core.change_membership(MembershipChange.ADD_LEARNER, "d")
     with pytest.raises(RequestRejectedError, match="under way"):
         core.change_membership(MembershipChange.ADD_LEARNER, "e")
-    group.pump()
-    group.boot("d")
+    group.deliver_messages()
+    group.restart("d")
     group.ticks(6, "a")
     core.change_membership(MembershipChange.PROMOTE, "d")
-    group.pump()
+    group.deliver_messages()
     assert core.membership.voters == frozenset("abcd")
     core.change_membership(MembershipChange.REMOVE, "d")
-    group.pump()
+    group.deliver_messages()
     with pytest.raises(RequestRejectedError, match="new one"):
         core.change_membership(MembershipChange.ADD_LEARNER, "d")
 
@@ -287,7 +288,7 @@
     group = ScriptedGroup("a", "b", "c")
     core = group.elect("a")
     core.change_membership(MembershipChange.REMOVE, "a")
-    group.pump()
+    group.deliver_messages()
     assert not core.is_leader
     group.elect("b")
     group.propose("b", b"x")
@@ -301,7 +302,7 @@
     core.transfer_leadership("b")
     with pytest.raises(RequestRejectedError, match="handed over"):
         core.propose(b"y")
-    group.pump()
+    group.deliver_messages()
     assert group.cores["b"].is_leader
     assert not core.is_leader
 
@@ -313,7 +314,7 @@
     group.propose("a", *(b"command%d" % n for n in range(20)))
     core = group.cores["a"]
     core.compact(core.applied_index, b"\0".join(group.applied["a"]))
-    group.pump()
+    group.deliver_messages()
     assert core.log.first_index > 10
     group.partitioned = set()
     return group
@@ -327,7 +328,7 @@
     group.ticks(10, "a")
     assert group.applied["c"] == group.applied["a"]
     assert len(group.applied["c"]) == 30
-    group.boot("c")  # from its disk
+    group.restart("c")  # recovers from its disk
     group.ticks(5, "a")
     assert group.applied["c"] == group.applied["a"]
 
@@ -336,30 +337,30 @@
     group = group_with_a_lagging_node()
     seen: list[int] = []
 
-    def lossy(m: Message) -> bool:
+    def drop_some_chunks(m: Message) -> bool:
         if isinstance(m, SnapshotChunk):
             seen.append(m.offset)
             if len(seen) == 4:
-                group.boot("c")  # restarted: what it had of the snapshot is gone
+                group.restart("c")  # loses the partially received snapshot
         return isinstance(m, SnapshotChunk) and len(seen) % 3 == 0
 
     for _ in range(80):
         group.cores["a"].tick()
-        group.pump(drop=lossy)
+        group.deliver_messages(drop=drop_some_chunks)
     assert group.applied["c"] == group.applied["a"]
     assert seen.count(0) >= 2
 
 
 def test_node_with_an_empty_disk_never_stands_for_election() -> None:
-    """It starts without membership: nobody's quorum counts it, and it never stands for election."""
+    """Without a membership, a node is in no quorum and must not start an election."""
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.propose("a", b"x")
-    blank = group.boot("c", InMemoryStorage(Membership(frozenset())))
+    empty_node = group.restart("c", InMemoryStorage(Membership(frozenset())))
     for _ in range(100):
-        blank.tick()
-    assert blank.role is Role.FOLLOWER
-    assert not blank.has_ready()
+        empty_node.tick()
+    assert empty_node.role is Role.FOLLOWER
+    assert not empty_node.has_ready()
 
 
 def test_single_voter_commits_alone_and_cannot_be_removed() -> None:
@@ -402,17 +403,17 @@
 
 
 @pytest.mark.parametrize("make", mutations.MUTATIONS, ids=lambda m: m.__name__)
-def test_schedules_with_a_planted_bug_find_it(make: type[RaftCore]) -> None:
-    limit = mutations.SEEDS.get(make.__name__, 60)
+def test_schedules_with_an_injected_bug_find_it(make: type[RaftCore]) -> None:
+    limit = mutations.SEED_COUNTS.get(make.__name__, 60)
     assert any(run(seed, core_factory=make, shrinking=False) for seed in range(limit))
 
 
 def test_failing_schedule_when_shrunk_still_fails() -> None:
     failure = next(
-        f for f in (run(s, core_factory=mutations.IgnoresOlderLogs, shrinking=False) for s in range(60)) if f
+        f for f in (run(s, core_factory=mutations.VotesForStaleLogs, shrinking=False) for s in range(60)) if f
     )
-    small = shrink(failure, mutations.IgnoresOlderLogs)
+    small = shrink(failure, mutations.VotesForStaleLogs)
     assert isinstance(small, Failure)
     assert len(small.operations) < len(failure.operations) // 2
-    assert find_violation(small.seed, small.operations, mutations.IgnoresOlderLogs) == small.violation
+    assert find_violation(small.seed, small.operations, mutations.VotesForStaleLogs) == small.violation
     assert find_violation(small.seed, small.operations) is None
--- a/tests/raft/test_digest.py
+++ b/tests/raft/test_digest.py
@@ -1,7 +1,7 @@
-"""Every byte that the core sends or stores over 500 seeded schedules, as one digest.
+"""Digest of every byte that the core sends or stores over 500 seeded schedules.
 
-The constant was taken from commit 5d30e02. Whoever means to keep the protocol, the order of messages, the
-stored records and the random draws must keep it; whoever changes them on purpose says so and takes a new one.
+Guards against unintended changes of the protocol, the message order, the stored records or the random draws.
+The expected digest was taken from commit 5d30e02. An intended change updates it and says so in its commit.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Recorder:
-    """Hashes what is sent and stored, each part with its length."""
+    """Hashes all messages and records, each part prefixed with its length."""
 
     def __init__(self) -> None:
         self._hash = hashlib.sha256()
@@ -46,7 +46,7 @@
             self._hash.update(part)
 
     def add_messages(self, messages: list[Message]) -> None:
-        """Sets of names have no order of their own, so they are sorted; all else is hashed as it is sent."""
+        """Names in sets are sorted, as sets are unordered; everything else is hashed as sent."""
         for message in messages:
             encoded = wire.encode([message])
             ((kind, fields),) = msgspec.msgpack.decode(encoded)
@@ -84,7 +84,7 @@
 
 
 class FakeEnvironment:
-    """As much of an lmdb environment as storage uses, in memory; it is its own transaction."""
+    """In-memory fake of the part of lmdb.Environment that Storage uses; also serves as its transaction."""
 
     def __init__(self, recorder: Recorder) -> None:
         self._recorder = recorder
@@ -125,7 +125,7 @@
     monkeypatch.setattr(lmdb, "open", lambda *_arguments, **_options: FakeEnvironment(recorder))
 
     class RecordingStorage(InMemoryStorage):
-        """Writes each batch through the real storage as well, for the bytes of its records."""
+        """Also writes each batch through `Storage`, to record the bytes of its records."""
 
         def __init__(self, membership: Membership) -> None:
             super().__init__(membership)
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -1,4 +1,4 @@
-"""The directory on disk: whole after any end of the process, and refused when it was changed."""
+"""On-disk storage: consistent after a crash at any point, and rejected if it was modified."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 def test_storage_through_a_core_s_life_holds_what_in_memory_storage_holds(tmp_path: Path) -> None:
-    """A core's whole life, written to both."""
+    """Writes every batch of a running core to both storages, with restarts in between."""
     for seed in range(5):
         disk = Storage.create(tmp_path / str(seed), "c", "a", Membership(frozenset("a")), 1 << 24)
-        twin = InMemoryStorage(Membership(frozenset("a")))
+        in_memory = InMemoryStorage(Membership(frozenset("a")))
         rng = random.Random(seed)
-        core = RaftCore("a", twin.recover(), RaftConfig(trailing_entries=3), rng)
+        core = RaftCore("a", in_memory.recover(), RaftConfig(trailing_entries=3), rng)
         for _ in range(300):
             core.tick()
             if core.is_leader and rng.random() < 0.5:
@@ -62,12 +62,12 @@
             while core.has_ready():
                 ready = core.take_ready()
                 disk.write(ready.persist)
-                twin.write(ready.persist)
+                in_memory.write(ready.persist)
                 core.mark_persisted(ready)
             if rng.random() < 0.05:
-                assert disk.recover() == twin.recover()
+                assert disk.recover() == in_memory.recover()
                 core = RaftCore("a", disk.recover(), RaftConfig(trailing_entries=3), rng)
-        assert disk.recover() == twin.recover()
+        assert disk.recover() == in_memory.recover()
         disk.close()
 
 
@@ -85,7 +85,7 @@
     assert (restored.compacted_index, restored.compacted_term) == (9, 2)
 
 
-WRITER = """
+WRITER_SCRIPT = """
 import sys
 from pathlib import Path
 from juniperreel.raft.storage import (Storage)
@@ -105,7 +105,9 @@
     storage.close()
     rng = random.Random(1)
     for _ in range(6):
-        writer = subprocess.Popen([sys.executable, "-c", WRITER, str(storage.path)], stdout=subprocess.PIPE)
+        writer = subprocess.Popen(
+            [sys.executable, "-c", WRITER_SCRIPT, str(storage.path)], stdout=subprocess.PIPE
+        )
         assert writer.stdout is not None
         confirmed = 0
         for _ in range(rng.randrange(1, 30)):
@@ -113,11 +115,13 @@
         writer.send_signal(signal.SIGKILL)
         confirmed = max([confirmed, *map(int, writer.stdout.read().split())])
         writer.wait()
-        again = Storage.open(storage.path, "c", "a")
-        restored = again.recover()
-        again.close()
+        reopened = Storage.open(storage.path, "c", "a")
+        restored = reopened.recover()
+        reopened.close()
         assert restored.hard_state.term >= confirmed
-        assert len(restored.entries) == restored.hard_state.term + 1  # the pair came whole
+        assert (
+            len(restored.entries) == restored.hard_state.term + 1
+        )  # the second entry of the last batch is present too
 
 
 def test_write_to_a_full_disk_raises_and_changes_nothing(storage: Storage) -> None:
@@ -160,13 +164,13 @@
     storage.write(PersistBatch(snapshot=Snapshot(1, 1, MEMBERS, b"STATESTATE" * 300), first_retained_index=1))
     storage.close()
     data = storage.path / "data.mdb"
-    whole = data.read_bytes()
+    original = data.read_bytes()
     refused = 0
     for needle in (marker, b"votedforthis", b"STATESTATE"):
-        at = whole.rindex(needle)
+        at = original.rindex(needle)
         for offset in range(0, len(needle), 3):
-            changed = bytearray(whole)
-            for place in [i for i in range(len(whole)) if whole.startswith(needle, i)][:400]:
+            changed = bytearray(original)
+            for place in [i for i in range(len(original)) if original.startswith(needle, i)][:400]:
                 changed[place + offset] ^= 4
             data.write_bytes(changed)
             with pytest.raises(StorageError, match="changed"):
@@ -177,13 +181,13 @@
 
 
 def test_rescue_of_a_lost_quorum_starts_a_cluster_under_another_name(tmp_path: Path) -> None:
-    lost = Storage.create(tmp_path / "lost", "old", "a", MEMBERS, 1 << 24)
+    old_storage = Storage.create(tmp_path / "lost", "old", "a", MEMBERS, 1 << 24)
     commands = [
         Entry(1, n, EntryKind.COMMAND, encode_command(Command("c", n, [SetLimit("attempts", n)])))
         for n in range(1, 6)
     ]
-    lost.write(PersistBatch(HardState(3, "a", 4), entries=commands))
-    lost.close()
+    old_storage.write(PersistBatch(HardState(3, "a", 4), entries=commands))
+    old_storage.close()
     with pytest.raises(StorageError, match="another name"):
         rescue(tmp_path / "lost", tmp_path / "new", "old", "b@h:1")
     assert rescue(tmp_path / "lost", tmp_path / "new", "new", "b@h:1", 1 << 24) == RescueResult(5, 1)
--- a/tests/raft/test_stored_data.py
+++ b/tests/raft/test_stored_data.py
@@ -1,6 +1,7 @@
-"""A directory written by commit 5d30e02 opens, replays and goes on; the same history gives the same records.
+"""Storage compatibility: a directory written by commit 5d30e02 can be opened, replayed and extended.
 
-`data/commit-5d30e02.mdb.xz` is the data file that `write_history` left under that commit.
+`data/commit-5d30e02.mdb.xz` is the data file that `write_history` produced at that commit; the same history
+must still produce the same records.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 
 
 class SingleNode:
-    """A cluster of one: core, directory and state machine driven by hand."""
+    """A single-node cluster whose core, storage and state machine are driven by the test."""
 
     def __init__(self, storage: Storage) -> None:
         self.storage = storage
@@ -65,10 +66,10 @@
     def elect(self) -> None:
         while not self.core.is_leader:
             self.core.tick()
-            self.settle()
-        self.settle()
+            self.process_ready()
+        self.process_ready()
 
-    def settle(self) -> None:
+    def process_ready(self) -> None:
         while self.core.has_ready():
             ready = self.core.take_ready()
             self.storage.write(ready.persist)
@@ -81,19 +82,19 @@
         self, client: str, sequence: int, *changes: ConfigurationChange, expect: int | None = None
     ) -> None:
         self.core.propose(encode_command(Command(client, sequence, list(changes), expect)))
-        self.settle()
+        self.process_ready()
 
     def change(self, change: MembershipChange, name: str) -> None:
         self.core.change_membership(change, name)
-        self.settle()
+        self.process_ready()
 
     def compact(self) -> None:
         self.core.compact(self.core.applied_index, self.state_machine.snapshot())
-        self.settle()
+        self.process_ready()
 
 
 def write_history(folder: Path) -> None:
-    """Every kind of command and entry, a rejected command, a snapshot, and entries before and after it."""
+    """Write every kind of command and entry, a rejected command, and a snapshot with entries around it."""
     storage = Storage.create(folder, CLUSTER, NODE, Membership(frozenset({NODE})), MAP_BYTES)
     node = SingleNode(storage)
     node.elect()
@@ -151,7 +152,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A copy of the directory that commit 5d30e02 wrote."""
+    """A copy of the directory written by commit 5d30e02."""
     copy = tmp_path / "copy"
     copy.mkdir()
     (copy / "data.mdb").write_bytes(lzma.decompress(FIXTURE.read_bytes()))
@@ -188,18 +189,18 @@
     machine.restore(restored.snapshot.data)
 
     assert machine.snapshot() == restored.snapshot.data
-    now = machine.current
-    assert now.version == 4
-    assert dict(now.members) == {
+    current = machine.current
+    assert current.version == 4
+    assert dict(current.members) == {
         "a": MemberInfo(0, "10.0.0.1", 3306, 1, 2, 1.5, "draining", 1_000_000),
         "b": MEMBER_B,
         "c": MEMBER_C,
     }
-    assert dict(now.groups) == {0: GroupInfo(2, "b"), 1: GroupInfo(1, "c"), 2: GroupInfo(0, None)}
-    assert dict(now.classes) == {"read": READ, "write": WRITE, "old": READ}
-    assert dict(now.tenants) == {"t": TenantInfo(0.25, 100.0), "u": TenantInfo(0.5, 0.0)}
-    assert dict(now.limits) == {"attempts": 3, "edges": 4}
-    assert dict(now.clients) == {
+    assert dict(current.groups) == {0: GroupInfo(2, "b"), 1: GroupInfo(1, "c"), 2: GroupInfo(0, None)}
+    assert dict(current.classes) == {"read": READ, "write": WRITE, "old": READ}
+    assert dict(current.tenants) == {"t": TenantInfo(0.25, 100.0), "u": TenantInfo(0.5, 0.0)}
+    assert dict(current.limits) == {"attempts": 3, "edges": 4}
+    assert dict(current.clients) == {
         "seed": ClientSession(3, 3, ""),
         "rejected": ClientSession(1, 3, REJECTION),
         "operator": ClientSession(2, 4, ""),
@@ -211,17 +212,17 @@
 
     node.elect()
 
-    now = node.state_machine.current
-    assert now.version == 7
-    assert dict(now.members) == {
+    current = node.state_machine.current
+    assert current.version == 7
+    assert dict(current.members) == {
         "b": MemberInfo(0, "10.0.0.2", 3306, 0, 0, 1.0, "draining", 5_000_000),
         "c": MEMBER_C,
     }
-    assert dict(now.groups) == {0: GroupInfo(2, "b"), 1: GroupInfo(1, "c")}
-    assert dict(now.classes) == {"read": READ, "write": WRITE}
-    assert dict(now.tenants) == {"t": TenantInfo(0.25, 100.0)}
-    assert dict(now.limits) == {"attempts": 3, "drain-grace-us": 250_000}
-    assert dict(now.clients) == {
+    assert dict(current.groups) == {0: GroupInfo(2, "b"), 1: GroupInfo(1, "c")}
+    assert dict(current.classes) == {"read": READ, "write": WRITE}
+    assert dict(current.tenants) == {"t": TenantInfo(0.25, 100.0)}
+    assert dict(current.limits) == {"attempts": 3, "drain-grace-us": 250_000}
+    assert dict(current.clients) == {
         "seed": ClientSession(3, 3, ""),
         "rejected": ClientSession(1, 3, REJECTION),
         "operator": ClientSession(5, 7, ""),
@@ -239,16 +240,16 @@
     node.propose("operator", 7, SetLimit("attempts", 10))
     node.storage.close()
 
-    again = SingleNode(Storage.open(folder, CLUSTER, NODE, MAP_BYTES))
-    assert again.storage.recover().hard_state == HardState(2, NODE, 15)
-    assert again.state_machine.current.limits["attempts"] == 9
-    again.elect()
+    reopened = SingleNode(Storage.open(folder, CLUSTER, NODE, MAP_BYTES))
+    assert reopened.storage.recover().hard_state == HardState(2, NODE, 15)
+    assert reopened.state_machine.current.limits["attempts"] == 9
+    reopened.elect()
 
-    assert (again.core.term, again.core.commit_index) == (3, 16)
-    assert again.state_machine.current.version == 9
-    assert again.state_machine.current.limits["attempts"] == 10
-    assert again.state_machine.current.clients["operator"] == ClientSession(7, 9, "")
-    again.storage.close()
+    assert (reopened.core.term, reopened.core.commit_index) == (3, 16)
+    assert reopened.state_machine.current.version == 9
+    assert reopened.state_machine.current.limits["attempts"] == 10
+    assert reopened.state_machine.current.clients["operator"] == ClientSession(7, 9, "")
+    reopened.storage.close()
 
 
 def test_the_same_history_leaves_the_same_records_as_commit_5d30e02(folder: Path, tmp_path: Path) -> None:
