--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -119,9 +119,8 @@
         restored = reopened.recover()
         reopened.close()
         assert restored.hard_state.term >= confirmed
-        assert (
-            len(restored.entries) == restored.hard_state.term + 1
-        )  # the second entry of the last batch is present too
+        # The second entry of the last batch is present too.
+        assert len(restored.entries) == restored.hard_state.term + 1
 
 
 def test_write_to_a_full_disk_raises_and_changes_nothing(storage: Storage) -> None:
