--- a/juniperreel/admission/process_limit.py
+++ b/juniperreel/admission/process_limit.py
@@ -1,31 +1,31 @@
-"""A limit on the requests in flight of the whole process, driven by how late its event loop is.
+"""An adaptive limit on the requests in flight in the whole process, driven by event loop lag.
 
-Multiplicative decrease on lag, and multiplicative increase in each window of time without it: the way back
-takes a bounded time, whatever the limit was and however many requests come meanwhile.
+The limit decreases multiplicatively on lag and increases multiplicatively in each time window without lag, so
+that recovery takes a bounded time regardless of the lowered limit and the request rate.
 """
 
 from __future__ import annotations
 
 MILLISECOND_US = 1_000
-WINDOW_US = 100 * MILLISECOND_US  # one stall of the loop counts once, not once for each request behind it
-TARGET_LAG_US = 25.0 * MILLISECOND_US  # above this the limit falls
-LONGEST_COUNTED_LAG_US = 200.0 * MILLISECOND_US  # one long stall must not outweigh what follows it
-LAG_MEMORY = 0.9  # weight of the old moving average of the lag, at each window
-SMALLEST_DECREASE_FACTOR = 0.7  # part of the limit that remains after one decrease, whatever the lag was
-INCREASE_FACTOR = 1.1  # of the limit, in each window without lag
-MOST_WINDOWS = 1_000  # at once; enough of them to come from the minimum to any limit
+WINDOW_US = 100 * MILLISECOND_US  # a stall counts once, not once per request delayed by it
+TARGET_LAG_US = 25.0 * MILLISECOND_US  # the limit is lowered above this mean lag
+LAG_CAP_US = 200.0 * MILLISECOND_US  # bounds the weight of a single long stall in the mean
+LAG_DECAY = 0.9  # weight of the previous moving average, per window
+MINIMUM_DECREASE_FACTOR = 0.7  # lower bound of the factor of a single decrease
+INCREASE_FACTOR = 1.1  # per window without lag
+MAXIMUM_WINDOWS = 1_000  # counted per update; enough to recover from the minimum to any limit
 MINIMUM_LIMIT = 8.0
 
 
 class ProcessLimit:
-    """How many requests may be in flight in this process. All times are whole microseconds.
+    """Adaptive limit on the requests in flight in this process. All times are integer microseconds.
 
-    Lag counts only in windows in which at least `MINIMUM_LIMIT` requests were in flight: fewer of them are
-    allowed at any lag, so that a lower limit would not have helped, and the cause is something else.
+    Lag counts only in windows in which at least `MINIMUM_LIMIT` requests were in flight. Below that, requests
+    cannot be the cause: fewer are admitted at any lag, so a lower limit would not have prevented it.
     """
 
     def __init__(self, maximum: float) -> None:
-        """Start at the maximum, as if there had never been any lag."""
+        """Start at the maximum, without any observed lag."""
         self.maximum = max(maximum, MINIMUM_LIMIT)
         self.value = self.maximum
         self._mean_lag_us = 0.0
@@ -34,15 +34,15 @@
         self._window_start_us: int | None = None
 
     def on_start(self, in_flight: int) -> None:
-        """Record that one more request is in flight, `in_flight` with it."""
+        """Record the start of a request; `in_flight` includes it."""
         self._peak_in_flight = max(self._peak_in_flight, in_flight)
 
     def on_loop_lag(self, now_us: int, lag_us: int, in_flight: int) -> None:
-        """Record how late the event loop was since the last call, with `in_flight` requests now."""
+        """Record the event loop lag since the last call; `in_flight` is the current number of requests."""
         if self._window_start_us is None:
             self._window_start_us = now_us
         self._largest_lag_us = max(self._largest_lag_us, lag_us)
-        windows = min((now_us - self._window_start_us) // WINDOW_US, MOST_WINDOWS)
+        windows = min((now_us - self._window_start_us) // WINDOW_US, MAXIMUM_WINDOWS)
         if windows > 0:
             self._end_window(windows)
             self._window_start_us = now_us
@@ -50,23 +50,23 @@
             self._peak_in_flight = in_flight
 
     def _end_window(self, windows: int) -> None:
-        """Follow the lag of a window; one that was observed late stands for several."""
+        """Adjust the limit to the lag of a window; a late update accounts for several windows."""
         lag_us = 0.0
         if self._peak_in_flight >= MINIMUM_LIMIT:
-            lag_us = min(float(self._largest_lag_us), LONGEST_COUNTED_LAG_US)
+            lag_us = min(float(self._largest_lag_us), LAG_CAP_US)
         if lag_us > TARGET_LAG_US:
-            windows = 1  # one stall, however long it was
-        memory = LAG_MEMORY**windows
-        self._mean_lag_us = memory * self._mean_lag_us + (1 - memory) * lag_us
+            windows = 1  # a single stall, regardless of its length
+        decay = LAG_DECAY**windows
+        self._mean_lag_us = decay * self._mean_lag_us + (1 - decay) * lag_us
         if self._mean_lag_us <= TARGET_LAG_US:
             self._increase(windows)
         elif lag_us > TARGET_LAG_US:
             self._decrease()
 
     def _decrease(self) -> None:
-        # A limit that was never used says nothing about lag (RFC 7661): decrease from what was used.
+        # Unused parts of the limit carry no information about lag (RFC 7661): decrease from the used part.
         used = min(self.value, float(self._peak_in_flight))
-        factor = max(SMALLEST_DECREASE_FACTOR, TARGET_LAG_US / self._mean_lag_us)
+        factor = max(MINIMUM_DECREASE_FACTOR, TARGET_LAG_US / self._mean_lag_us)
         self.value = max(MINIMUM_LIMIT, used * factor)
 
     def _increase(self, windows: int) -> None:
