--- a/juniperreel/admission/__init__.py
+++ b/juniperreel/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission control: whether a request is admitted, queued or rejected, and how many are in flight. No I/O.
+"""Admission control: decides which requests are admitted, queued or rejected. No I/O.
 
-This package never chooses an endpoint; the router does that for every request that is admitted here.
+Endpoint selection is not part of this package: the router selects one for each admitted request.
 """
 
 from juniperreel.admission.controller import AdmissionController
--- a/juniperreel/admission/controlled_delay.py
+++ b/juniperreel/admission/controlled_delay.py
@@ -1,8 +1,7 @@
-"""How long a request may be queued: controlled delay.
+"""Controlled delay: limits how long a request may be queued.
 
-Long where hardly any request was rejected recently, since the queue is then a burst that will pass; hardly at
-all where many were ("controlled delay": Maurer, Fail at Scale, ACM Queue 13(8), 2015, after Nichols and
-Jacobson's CoDel).
+The limit is long while few requests are rejected, since the queue then absorbs a short burst, and short under
+lasting overload (Maurer, "Fail at Scale", ACM Queue 13(8), 2015; after Nichols and Jacobson's CoDel).
 """
 
 from __future__ import annotations
@@ -10,16 +9,16 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-BURST_SOJOURN = 0.15  # of the latency objective may be spent in the queue during a burst
-# The same under lasting overload: queueing serves nobody then, it only delays every response.
-OVERLOAD_SOJOURN = 0.05
-OVERLOAD_FRACTION = 0.1  # of the arrivals rejected, from which on it counts as lasting overload
-REJECTED_MEMORY = 0.95  # weight of the old rejected fraction, at each arrival
-REJECTED_HALF_LIFE_US = 500_000  # after which half of the fraction has decayed in any case
+BURST_SOJOURN_FRACTION = 0.15  # fraction of the latency objective that may be spent queued in a burst
+# The same under lasting overload, where queueing only delays every response and raises no throughput.
+OVERLOAD_SOJOURN_FRACTION = 0.05
+OVERLOAD_REJECTED_FRACTION = 0.1  # of recent arrivals; above it, the overload counts as lasting
+REJECTED_FRACTION_DECAY = 0.95  # weight of the previous fraction, per arrival
+REJECTED_FRACTION_HALF_LIFE_US = 500_000  # of the decay by time, independent of arrivals
 
 
 class QueueKey(NamedTuple):
-    """What requests of one queue have in common."""
+    """Identifies a queue: requests of one tenant with the same priority weight."""
 
     tenant_index: int
     priority_weight: float
@@ -27,32 +26,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedFraction:
-    """The decayed part of recent arrivals that were rejected, as of a time."""
+    """Exponentially decaying fraction of arrivals that were rejected, as of `updated_us`."""
 
     value: float
     updated_us: int
 
 
 class ControlledDelay:
-    """Recent rejections of each queue, and the longest sojourn that follows from them."""
+    """Tracks recent rejections per queue and derives the maximum sojourn time from them."""
 
     def __init__(self) -> None:
         self._rejected: dict[QueueKey, RejectedFraction] = {}
 
     def on_arrival(self, now_us: int, key: QueueKey, rejected: bool) -> None:
-        """Record an arrival; the fraction decays with time as well, however few arrive."""
+        """Record an arrival. The fraction decays with time as well as with arrivals."""
         previous = self._rejected.get(key, RejectedFraction(0.0, now_us))
         elapsed_us = now_us - previous.updated_us
-        remaining = previous.value * (REJECTED_MEMORY * 0.5 ** (elapsed_us / REJECTED_HALF_LIFE_US))
-        self._rejected[key] = RejectedFraction(remaining + (1 - REJECTED_MEMORY) * rejected, now_us)
+        remaining = previous.value * (
+            REJECTED_FRACTION_DECAY * 0.5 ** (elapsed_us / REJECTED_FRACTION_HALF_LIFE_US)
+        )
+        self._rejected[key] = RejectedFraction(remaining + (1 - REJECTED_FRACTION_DECAY) * rejected, now_us)
 
-    def longest_sojourn_us(self, key: QueueKey, latency_objective_us: int) -> int:
+    def max_sojourn_us(self, key: QueueKey, latency_objective_us: int) -> int:
         """Return how long a request that arrives now may be queued.
 
-        Judged by the requests of the same queue alone: where others are rejected and these are not, a queue
-        of these is a burst all the same.
+        Only rejections from the same queue count: if only requests of other queues are rejected, this queue
+        still holds a burst.
         """
         rejected = self._rejected.get(key)
-        overloaded = rejected is not None and rejected.value > OVERLOAD_FRACTION
-        sojourn = OVERLOAD_SOJOURN if overloaded else BURST_SOJOURN
+        overloaded = rejected is not None and rejected.value > OVERLOAD_REJECTED_FRACTION
+        sojourn = OVERLOAD_SOJOURN_FRACTION if overloaded else BURST_SOJOURN_FRACTION
         return int(sojourn * latency_objective_us)
--- a/juniperreel/admission/controller.py
+++ b/juniperreel/admission/controller.py
@@ -1,8 +1,8 @@
-"""The admission controller in front of the router: which requests are admitted, queued or rejected.
+"""The admission controller in front of the router: admits, queues or rejects requests.
 
-Events in, decisions out, without a clock and without I/O. There is one concurrency limit for each group's
-replicas, one for each group's primary, and one for the whole process, which follows the lag of its event
-loop. A lane that is full holds back its own requests and no others.
+It maps events to decisions, without a clock and without I/O. There is a concurrency limit for the replicas of
+each group, one for the primary of each group, and one for the whole process, which adapts to event loop lag.
+A full lane does not delay requests in other lanes.
 """
 
 from __future__ import annotations
@@ -20,19 +20,18 @@
 from juniperreel.routing.types import Consistency, RequestClass, Settings
 
 MILLISECOND_US = 1_000
-MINIMUM_REMAINING_US = (
-    10 * MILLISECOND_US
-)  # with less until its deadline a request cannot be answered in time
-MINIMUM_RETRY_AFTER = 0.2  # of the longest retry-after, sent where hardly any request is rejected
-# Requests that are rejected together must not retry together: a part of the wait, drawn between these.
-RETRY_AFTER_SPREAD = (0.5, 1.0)
-REJECTED_MEMORY = 0.98  # weight of the old rejected fraction, at each arrival
-MAXIMUM_QUEUED = 10_000  # in one lane; it bounds memory, while the sojourn is what limits the queue
+# A request with less time left until its deadline cannot be answered in time.
+MINIMUM_REMAINING_US = 10 * MILLISECOND_US
+MINIMUM_RETRY_AFTER_FRACTION = 0.2  # of the maximum retry-after, sent when few requests are rejected
+# Random factor of the retry-after, so that requests rejected together do not retry together.
+RETRY_AFTER_JITTER = (0.5, 1.0)
+REJECTED_FRACTION_DECAY = 0.98  # weight of the previous fraction, per arrival
+MAXIMUM_QUEUED_PER_LANE = 10_000  # bounds memory; the sojourn time is what normally limits a queue
 MINIMUM_LANE_LIMIT = 2.0
 
 
 class LaneKey(NamedTuple):
-    """A group's lane: that of its primary, or the one that its replicas share."""
+    """Identifies a lane of a group: that of its primary, or the one shared by its replicas."""
 
     group: int
     primary: bool
@@ -40,19 +39,19 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """A request that was admitted and has not ended."""
+    """An admitted request that has not completed."""
 
     lane: PriorityLane
     request_class: RequestClass
     admitted_us: int
     lane_was_full: bool
-    lane_in_flight: int  # with it, when it was admitted
+    lane_in_flight: int  # including this request, when it was admitted
 
 
 class AdmissionController:
     """Admission control for one router.
 
-    Invariant: each `Admission` must be answered by one call of `on_finished`. Each arrival gets exactly one
+    The caller must call `on_finished` exactly once for each `Admission`. Each arrival gets exactly one
     decision, unless its client disconnects first.
     """
 
@@ -63,13 +62,13 @@
         seed: int,
         make_limit: Callable[[float], ConcurrencyLimit] = ConcurrencyLimit,
     ) -> None:
-        """Set up an idle controller.
+        """Create an idle controller.
 
         Args:
             settings: the router's settings.
-            max_open: requests in flight and queued at most, whatever the limits allow.
-            seed: of the random spread of retry-after times.
-            make_limit: makes the limit of a lane from its minimum.
+            max_open: the maximum number of requests in flight and queued, regardless of the adaptive limits.
+            seed: the seed of the retry-after jitter.
+            make_limit: creates the limit of a lane, given its minimum.
         """
         self._settings = settings
         self._make_limit = make_limit
@@ -89,22 +88,22 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are admitted and have not ended."""
+        """Number of admitted requests that have not completed."""
         return len(self._in_flight)
 
     @property
     def queued(self) -> int:
-        """Requests that wait in all lanes."""
+        """Number of queued requests in all lanes."""
         return len(self._queued)
 
     def lanes(self) -> Iterable[tuple[LaneKey, PriorityLane]]:
-        """Return the lanes that have been used so far."""
+        """Return all lanes that have been used."""
         return list(self._lanes.items())
 
     def lane(self, group: int, request_class: RequestClass) -> PriorityLane:
-        """Return the lane of a class's requests, made on first use.
+        """Return the lane for requests of a class, created on first use.
 
-        The primary alone serves writes and fresh reads; all other reads share the replicas' lane.
+        Only the primary serves writes and fresh reads; all other reads share the replicas' lane.
         """
         primary = request_class.consistency in (Consistency.WRITE, Consistency.FRESH)
         key = LaneKey(group, primary)
@@ -117,7 +116,10 @@
         return lane
 
     def set_endpoint_count(self, group: int, count: int) -> None:
-        """Tell how many endpoints a group has: a limit too low for them would leave some idle."""
+        """Set the number of endpoints of a group, which bounds its limits from below.
+
+        A limit lower than that would leave some endpoints idle.
+        """
         self._endpoint_counts[group] = count
         for key in (LaneKey(group, primary=False), LaneKey(group, primary=True)):
             if key in self._lanes:
@@ -132,9 +134,9 @@
     def reject_early(
         self, now_us: int, class_index: int, tenant_index: int, group: int, remaining_us: int
     ) -> Rejection | None:
-        """Return the rejection that an arrival would get at once, before any work is spent on it.
+        """Return the rejection that an arrival would get immediately, before it is processed further.
 
-        It counts as an arrival only if it is rejected. `remaining_us` is the time to its deadline.
+        The arrival is counted only if it is rejected. `remaining_us` is the time until its deadline.
         """
         request_class = self._settings.classes[class_index]
         lane = self.lane(group, request_class)
@@ -149,7 +151,7 @@
     def _rejection_reason(
         self, lane: PriorityLane, key: QueueKey, request_class: RequestClass, remaining_us: int
     ) -> RejectionReason | None:
-        """Return why an arrival cannot be taken, or None. The cheapest checks come first."""
+        """Return why an arrival must be rejected, or None. The cheapest checks come first."""
         if self.shutting_down:
             return RejectionReason.SHUTTING_DOWN
         if remaining_us <= MINIMUM_REMAINING_US:
@@ -160,8 +162,8 @@
             return None
         process_full = not self._process_has_capacity()
         if process_full and lane.limit.value <= lane.in_flight + lane.queued:
-            # Where the event loop itself is the bottleneck, each queued request costs it more time: no queue
-            # beyond what the lane may have in flight, except by pushing out a lower rank.
+            # If the event loop is the bottleneck, each queued request adds to its load: do not queue beyond
+            # the lane's limit on requests in flight, unless the request displaces one of lower rank.
             return None if lane.outranks_any_queued(key) else RejectionReason.PROCESS_AT_LIMIT
         if self._fits_in_queue(lane, key, request_class, remaining_us) or lane.outranks_any_queued(key):
             return None
@@ -176,17 +178,17 @@
     def _fits_in_queue(
         self, lane: PriorityLane, key: QueueKey, request_class: RequestClass, remaining_us: int
     ) -> bool:
-        """Return whether a new request would be admitted in time, as far as can be estimated."""
+        """Return whether a new request is expected to be admitted in time."""
         objective_us = request_class.latency_objective_us
         wait_us = lane.estimated_wait_us(lane.queued_ahead(key) + 1, objective_us)
-        longest_us = min(lane.longest_sojourn_us(key, objective_us), remaining_us - MINIMUM_REMAINING_US)
-        return wait_us <= longest_us and lane.queued < MAXIMUM_QUEUED
+        max_wait_us = min(lane.max_sojourn_us(key, objective_us), remaining_us - MINIMUM_REMAINING_US)
+        return wait_us <= max_wait_us and lane.queued < MAXIMUM_QUEUED_PER_LANE
 
     def on_arrival(self, now_us: int, arrival: Arrival) -> list[Decision]:
         """Admit, queue or reject a request.
 
-        Its own decision is returned now, or by a later call if it is queued; decisions on other requests may
-        be returned with it.
+        If the request is queued, its decision is returned by a later call. The result may include decisions
+        on other requests.
         """
         request_class = self._settings.classes[arrival.class_index]
         lane = self.lane(arrival.group, request_class)
@@ -199,17 +201,17 @@
         lane.on_arrival(now_us, key, rejected=reason is not None)
         if reason is not None:
             return [self._reject(arrival.id, reason)]
-        self.rejected_fraction *= REJECTED_MEMORY
+        self.rejected_fraction *= REJECTED_FRACTION_DECAY
         if self._admits_immediately(lane):
             return [self._admit(now_us, lane, request_class, arrival.id, arrival.tenant_index)]
         self._enqueue(now_us, lane, key, request_class, arrival)
-        return self._reject_late(now_us, lane)
+        return self._reject_unservable(now_us, lane)
 
     def _enqueue(
         self, now_us: int, lane: PriorityLane, key: QueueKey, request_class: RequestClass, arrival: Arrival
     ) -> None:
-        # Time in the socket counts as time queued, but whether it may be queued was decided as of now.
-        sojourn_us = lane.longest_sojourn_us(key, request_class.latency_objective_us)
+        # Time in the socket buffer counts as time queued, but the decision to queue it was made as of now.
+        sojourn_us = lane.max_sojourn_us(key, request_class.latency_objective_us)
         sojourn_end_us = max(arrival.readable_us + sojourn_us, now_us + 1)
         expires_us = min(sojourn_end_us, arrival.deadline_us - MINIMUM_REMAINING_US)
         queued = QueuedRequest(arrival.id, request_class, arrival.tenant_index, expires_us)
@@ -226,24 +228,26 @@
         return Admission(request)
 
     def _reject(self, request: str, reason: RejectionReason) -> Rejection:
-        self.rejected_fraction = REJECTED_MEMORY * self.rejected_fraction + (1 - REJECTED_MEMORY)
-        longest_us = self._settings.max_retry_after_us if self._settings.retry_after_hints else 0
-        part = MINIMUM_RETRY_AFTER + (1 - MINIMUM_RETRY_AFTER) * self.rejected_fraction
-        retry_after_us = int(longest_us * part * self._random.uniform(*RETRY_AFTER_SPREAD))
+        self.rejected_fraction = REJECTED_FRACTION_DECAY * self.rejected_fraction + (
+            1 - REJECTED_FRACTION_DECAY
+        )
+        ceiling_us = self._settings.max_retry_after_us if self._settings.retry_after_hints else 0
+        fraction = MINIMUM_RETRY_AFTER_FRACTION + (1 - MINIMUM_RETRY_AFTER_FRACTION) * self.rejected_fraction
+        retry_after_us = int(ceiling_us * fraction * self._random.uniform(*RETRY_AFTER_JITTER))
         return Rejection(request, reason, retry_after_us)
 
-    # Ends of requests.
+    # Completions.
 
     def on_finished(
         self, now_us: int, request: str, response_time_us: int | None, dropped: bool = False
     ) -> list[Decision]:
-        """Record the final answer of a request in flight, and admit from the queue.
+        """Record the completion of a request in flight, and admit queued requests.
 
         Args:
-            now_us: the clock.
-            request: its id; an unknown one is ignored.
-            response_time_us: of the attempt that served it; None if none did.
-            dropped: endpoints rejected it for overload, or did not answer.
+            now_us: the current time.
+            request: the id of the request; unknown ids are ignored.
+            response_time_us: the response time of its successful attempt; None if there was none.
+            dropped: whether endpoints rejected it because of overload, or did not respond.
         """
         finished = self._in_flight.pop(request, None)
         if finished is None:
@@ -261,7 +265,7 @@
         return self._admit_queued(now_us, lane)
 
     def on_client_disconnected(self, now_us: int, request: str) -> list[Decision]:
-        """Forget a queued request; one that is in flight still needs its `on_finished`."""
+        """Remove a queued request. A request in flight still requires a call of `on_finished`."""
         entry = self._queued.pop(request, None)
         if entry is None:
             return []
@@ -270,8 +274,8 @@
         return self._admit_queued(now_us, lane)
 
     def _admit_queued(self, now_us: int, lane: PriorityLane) -> list[Decision]:
-        """Reject what is too late in the lane's queue, then admit as many as the limits allow."""
-        decisions: list[Decision] = self._reject_late(now_us, lane)
+        """Reject queued requests that cannot be served in time, then admit as many as the limits allow."""
+        decisions: list[Decision] = self._reject_unservable(now_us, lane)
         while lane.queued and lane.has_capacity and self._process_has_capacity():
             queued = lane.pop_next()
             if queued is None:
@@ -280,7 +284,7 @@
             decisions.append(self._admit(now_us, lane, queued.request_class, queued.id, queued.tenant_index))
         return decisions
 
-    def _reject_late(self, now_us: int, lane: PriorityLane) -> list[Decision]:
+    def _reject_unservable(self, now_us: int, lane: PriorityLane) -> list[Decision]:
         decisions: list[Decision] = []
         while (queued := lane.pop_expired(now_us)) is not None:
             del self._queued[queued.id]
@@ -290,15 +294,15 @@
             decisions.append(self._reject(queued.id, RejectionReason.OUTRANKED))
         return decisions
 
-    # Time.
+    # Timers and event loop lag.
 
     def next_timer_us(self) -> int | None:
-        """Return when `on_timer` has something to do."""
+        """Return when `on_timer` must be called next; None if no timer is pending."""
         expiries = (lane.next_expiry_us() for lane in self._lanes.values() if lane.queued)
         return min((expiry for expiry in expiries if expiry is not None), default=None)
 
     def on_timer(self, now_us: int) -> list[Decision]:
-        """Reject the queued requests that have expired, and admit from queues that have capacity."""
+        """Reject expired queued requests, and admit from the queues of lanes with capacity."""
         decisions: list[Decision] = []
         for lane in self._lanes.values():
             if not lane.queued:
@@ -308,9 +312,9 @@
         return decisions
 
     def on_loop_lag(self, now_us: int, lag_us: int) -> None:
-        """Record how late the event loop was.
+        """Record the event loop lag.
 
-        Requests in flight that the loop cannot attend to age like requests in a queue, and only fewer of them
-        in flight cure that: the process limit follows the largest lag of each window.
+        Requests in flight that the loop cannot process in time wait as in a queue, and only a lower number in
+        flight shortens that wait. The process limit therefore adapts to the largest lag of each window.
         """
         self.process_limit.on_loop_lag(now_us, lag_us, len(self._in_flight))
--- a/juniperreel/admission/decisions.py
+++ b/juniperreel/admission/decisions.py
@@ -1,4 +1,4 @@
-"""What the admission controller is given, and what it decides: plain records."""
+"""Input and output records of the admission controller."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 class Arrival:
     """A request that has just arrived.
 
-    `readable_us` is when its bytes could first have been read from the socket, so that time spent there
-    counts as time queued. `bypasses_limits` marks a request that is always admitted: the commit of an open
+    `readable_us` is when its bytes became readable on the socket; time spent in the socket buffer counts as
+    time queued. `bypasses_limits` marks a request that is always admitted, such as the commit of an open
     transaction.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Answer the request with a rejection now; it was forwarded to no endpoint."""
+    """Reject the request now; it was not forwarded to any endpoint."""
 
     request: str
     reason: RejectionReason
--- a/juniperreel/admission/lane.py
+++ b/juniperreel/admission/lane.py
@@ -1,7 +1,7 @@
-"""The queue in front of one group's replicas or its primary, and the order in which requests leave it.
+"""Priority queue in front of a group's replicas or its primary.
 
-A lane holds the requests that compete for the same endpoints. Tenants within their quota go first, then those
-that were given less than their share; then by priority weight, then by arrival.
+A lane holds the requests that compete for the same endpoints. They are ordered by quota status (tenants
+within their quota first, then underserved ones), then by priority weight, then by arrival.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from itertools import count
 from typing import NamedTuple
 
-from juniperreel.admission.concurrency import TARGET_RATIO, ConcurrencyLimit
+from juniperreel.admission.concurrency import TARGET_LATENCY_RATIO, ConcurrencyLimit
 from juniperreel.admission.controlled_delay import ControlledDelay, QueueKey
-from juniperreel.admission.quota import QuotaStanding, TenantQuotas
+from juniperreel.admission.quota import QuotaStatus, TenantQuotas
 from juniperreel.routing.types import RequestClass
 
-COMPLETION_GAP_MEMORY = 0.9  # weight of the old mean time between two completions
-OBSERVATIONS_EXPIRE_US = 2_000_000  # with nothing in flight for so long, what was observed is outdated
-# A queued request is given up early when the estimated wait is this many times the time that it still has.
+COMPLETION_INTERVAL_DECAY = 0.9  # weight of the previous mean, per completion
+OBSERVATION_TTL_US = 2_000_000  # observations expire after this long without requests in flight
+# A queued request is rejected early if its estimated wait exceeds this multiple of its remaining time.
 STARVATION_FACTOR = 2
 
 
 class Rank(NamedTuple):
-    """The order in which queues are served; higher ranks go first."""
+    """Service order of queues; higher ranks are served first."""
 
-    standing: QuotaStanding
+    quota_status: QuotaStatus
     priority_weight: float
 
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A request in the queue; from `expires_us` on it can no longer be answered in time."""
+    """A queued request. It is rejected if it is still queued at `expires_us`."""
 
     id: str
     request_class: RequestClass
@@ -42,12 +42,12 @@
 
     @property
     def key(self) -> QueueKey:
-        """The queue that it belongs to."""
+        """Key of the queue that holds it."""
         return QueueKey(self.tenant_index, self.request_class.priority_weight)
 
 
 class Expiry(NamedTuple):
-    """An entry of the heap of expiry times; `sequence` keeps requests out of comparisons."""
+    """Entry of the expiry heap. `sequence` is unique, so that requests are never compared."""
 
     at_us: int
     sequence: int
@@ -55,14 +55,14 @@
 
 
 class PriorityLane:
-    """The queue of one lane and its limit on requests in flight.
+    """The queues of a lane and its limit on requests in flight.
 
-    Invariant: `queued` and `_lengths` count the requests that have not been removed. Removed requests may
-    remain inside `_queues` and `_expiries` until they come up there.
+    Invariant: `queued` and `_lengths` count only requests that have not been removed. Removal is lazy:
+    removed requests may remain in `_queues` and `_expiries` until they reach the end that is popped.
     """
 
     def __init__(self, shares: tuple[float, ...], limit: ConcurrencyLimit) -> None:
-        """`shares` are the tenants' capacity shares, in the order of the settings."""
+        """`shares` are the tenants' capacity shares, in configuration order."""
         self.limit = limit
         self.in_flight = 0
         self.queued = 0
@@ -73,49 +73,49 @@
         self._lengths: dict[QueueKey, int] = {}
         self._expiries: list[Expiry] = []
         self._sequence = count()
-        self._completion_gap_us = 0.0  # mean time between two completions while the lane is full
-        self._full_completion_us = 0  # the last completion, if the lane was full then
+        self._completion_interval_us = 0.0  # mean, while the lane is full
+        self._last_full_completion_us = 0  # 0 unless the lane was full at the last completion
 
     # Arrivals, admissions and completions.
 
     def on_arrival(self, now_us: int, key: QueueKey, rejected: bool) -> None:
-        """Record an arrival, rejected or not."""
+        """Record an arrival and whether it was rejected."""
         self._quotas.on_arrival(key.tenant_index)
         self._controlled_delay.on_arrival(now_us, key, rejected)
 
     def expire_observations(self, now_us: int) -> None:
-        """Forget what was observed of the endpoints, if nothing was in flight for long."""
-        if self.in_flight or now_us - self.last_completion_us <= OBSERVATIONS_EXPIRE_US:
+        """Reset outdated observations of the endpoints after a long period without requests in flight."""
+        if self.in_flight or now_us - self.last_completion_us <= OBSERVATION_TTL_US:
             return
         self.limit.on_idle()
-        self._completion_gap_us = 0.0
-        self._full_completion_us = 0
+        self._completion_interval_us = 0.0
+        self._last_full_completion_us = 0
 
     def on_admission(self, tenant_index: int) -> None:
-        """Record that a request of the tenant is in flight now."""
+        """Record that a request of the tenant was admitted."""
         self.in_flight += 1
         if self.has_capacity:
-            self._full_completion_us = 0  # whatever has passed since, the lane was not full all the time
+            self._last_full_completion_us = 0  # the lane has not been full throughout
         self.limit.on_start(self.in_flight)
         self._quotas.on_admission(tenant_index)
 
     def on_completion(self, now_us: int, was_full: bool) -> None:
-        """Record that a request in flight has ended.
+        """Record that a request in flight has completed.
 
-        The time between completions measures the capacity only while the lane is full.
+        The interval between completions measures the capacity only while the lane is full.
         """
         self.in_flight -= 1
-        if was_full and self._full_completion_us:
-            self._observe_completion_gap(now_us - self._full_completion_us)
-        self._full_completion_us = now_us if was_full else 0
+        if was_full and self._last_full_completion_us:
+            self._observe_completion_interval(now_us - self._last_full_completion_us)
+        self._last_full_completion_us = now_us if was_full else 0
         self.last_completion_us = now_us
 
-    def _observe_completion_gap(self, gap_us: int) -> None:
-        if self._completion_gap_us:
-            old = COMPLETION_GAP_MEMORY * self._completion_gap_us
-            self._completion_gap_us = old + (1 - COMPLETION_GAP_MEMORY) * gap_us
+    def _observe_completion_interval(self, interval_us: int) -> None:
+        if self._completion_interval_us:
+            previous = COMPLETION_INTERVAL_DECAY * self._completion_interval_us
+            self._completion_interval_us = previous + (1 - COMPLETION_INTERVAL_DECAY) * interval_us
         else:
-            self._completion_gap_us = float(gap_us)
+            self._completion_interval_us = float(interval_us)
 
     # Capacity and waiting times.
 
@@ -125,39 +125,39 @@
         return self.in_flight < self.limit.value
 
     def estimated_wait_us(self, requests_ahead: int, latency_objective_us: int) -> float:
-        """Return how long a request waits until `requests_ahead` have left the queue.
+        """Return the estimated time until `requests_ahead` requests have left the queue.
 
-        A lane that was never full has no completion rate: the response time observed so far, or else the
-        limit's target, stands in for it.
+        A lane that was never full has no measured completion rate; the observed latency ratio, or the target
+        ratio if there is none, is used instead.
         """
-        if self._completion_gap_us:
-            return requests_ahead * self._completion_gap_us
-        latency_ratio = self.limit.latency_ratio or TARGET_RATIO
+        if self._completion_interval_us:
+            return requests_ahead * self._completion_interval_us
+        latency_ratio = self.limit.latency_ratio or TARGET_LATENCY_RATIO
         return requests_ahead * (latency_ratio * latency_objective_us / self.limit.value)
 
-    def longest_sojourn_us(self, key: QueueKey, latency_objective_us: int) -> int:
+    def max_sojourn_us(self, key: QueueKey, latency_objective_us: int) -> int:
         """Return how long a request that arrives now may be queued."""
-        return self._controlled_delay.longest_sojourn_us(key, latency_objective_us)
+        return self._controlled_delay.max_sojourn_us(key, latency_objective_us)
 
     # Ranks.
 
-    def standing(self, tenant_index: int) -> QuotaStanding:
-        """Return how the tenant stands against its share."""
-        return self._quotas.standing(tenant_index)
+    def quota_status(self, tenant_index: int) -> QuotaStatus:
+        """Return the tenant's demand and usage relative to its share."""
+        return self._quotas.status(tenant_index)
 
     def rank(self, key: QueueKey) -> Rank:
         """Return the rank of a queue's requests."""
-        return Rank(self.standing(key.tenant_index), key.priority_weight)
+        return Rank(self.quota_status(key.tenant_index), key.priority_weight)
 
     def queued_ahead(self, key: QueueKey) -> int:
-        """Return how many queued requests would be admitted before a new one of the queue."""
+        """Return how many queued requests would be admitted before a new request with this key."""
         if not self.queued:
             return 0
         rank = self.rank(key)
         return sum(length for other, length in self._lengths.items() if self.rank(other) >= rank)
 
     def outranks_any_queued(self, key: QueueKey) -> bool:
-        """Return whether a new request would rank above the lowest that is queued."""
+        """Return whether a new request would rank above the lowest-ranked queued one."""
         if not self._lengths:
             return False
         return self.rank(key) > min(self.rank(queued) for queued in self._lengths)
@@ -165,14 +165,14 @@
     # The queue.
 
     def enqueue(self, request: QueuedRequest) -> None:
-        """Add a request behind those of its own queue."""
+        """Append a request to its queue."""
         self._queues.setdefault(request.key, deque()).append(request)
         self._lengths[request.key] = self._lengths.get(request.key, 0) + 1
         heapq.heappush(self._expiries, Expiry(request.expires_us, next(self._sequence), request))
         self.queued += 1
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out of the queue, wherever it stands; a removed one is ignored."""
+        """Remove a request from any position in its queue. Does nothing if it was already removed."""
         if request.removed:
             return
         request.removed = True
@@ -185,7 +185,7 @@
             self._expiries.clear()
 
     def pop_next(self) -> QueuedRequest | None:
-        """Take out the oldest request of the highest rank."""
+        """Remove and return the oldest request of the highest-ranked queue."""
         if not self._lengths:
             return None
         queue = self._queues[max(self._lengths, key=self.rank)]
@@ -195,9 +195,9 @@
         return queue.popleft()
 
     def pop_starving(self, now_us: int) -> QueuedRequest | None:
-        """Take out the newest request of the lowest rank, if it will not be admitted before it expires.
+        """Remove and return the newest request of the lowest-ranked queue if it would expire while queued.
 
-        Without this, requests that others overtake would sit out their time in the queue for nothing.
+        Without this, requests that are constantly overtaken would wait for their full sojourn time in vain.
         """
         if not self._lengths:
             return None
@@ -212,13 +212,13 @@
         return queue.pop()
 
     def next_expiry_us(self) -> int | None:
-        """Return when the next queued request expires."""
+        """Return the earliest expiry time of all queued requests."""
         while self._expiries and self._expiries[0].request.removed:
             heapq.heappop(self._expiries)
         return self._expiries[0].at_us if self._expiries else None
 
     def pop_expired(self, now_us: int) -> QueuedRequest | None:
-        """Take out a request that has expired."""
+        """Remove and return an expired request, if there is one."""
         expiry_us = self.next_expiry_us()
         if expiry_us is None or expiry_us > now_us:
             return None
--- a/juniperreel/admission/quota.py
+++ b/juniperreel/admission/quota.py
@@ -1,29 +1,29 @@
-"""How the tenants of one lane stand against their capacity shares, by decaying counts."""
+"""Compares the tenants of a lane with their capacity shares, using exponentially decaying counts."""
 
 from __future__ import annotations
 
 import math
 from enum import IntEnum
 
-SHARE_MEMORY = 0.998  # weight of the old counts, at each admitted request
-# By how many standard deviations a tenant may exceed its share before it counts as over it: chance alone
-# hardly ever lifts a tenant that far.
-SHARE_DEVIATIONS = 3
+QUOTA_DECAY = 0.998  # weight of the previous counts, per admitted request
+# Standard deviations by which a tenant may exceed its share before it counts as over quota: random variation
+# rarely exceeds 3.
+QUOTA_TOLERANCE_DEVIATIONS = 3
 
 
-class QuotaStanding(IntEnum):
-    """What a tenant asks and was given relative to its share; the higher go first."""
+class QuotaStatus(IntEnum):
+    """Demand and usage of a tenant relative to its share; higher values are served first."""
 
-    OVER_QUOTA = 0  # it asks for more than its share, and has been given that
-    UNDERSERVED = 1  # it asks for more than its share, and has not been given that yet
-    WITHIN_QUOTA = 2  # it asks for no more than its share, and should lose nothing
+    OVER_QUOTA = 0  # demand and usage both exceed its share
+    UNDERSERVED = 1  # demand exceeds its share, usage does not
+    WITHIN_QUOTA = 2  # demand does not exceed its share; its requests should not be rejected
 
 
 class TenantQuotas:
-    """Decaying counts, per tenant, of the requests that arrived and of those that were admitted.
+    """Decaying counts of arrived and admitted requests per tenant.
 
-    A tenant index outside the configured tenants stands for a request without a tenant: it has no share and
-    is always over quota.
+    A tenant index outside the configured range denotes a request without a tenant, which has no share and is
+    always over quota.
     """
 
     def __init__(self, shares: tuple[float, ...]) -> None:
@@ -36,30 +36,30 @@
     def on_arrival(self, tenant_index: int) -> None:
         """Count an arrival, admitted or not."""
         if 0 <= tenant_index < len(self._arrived):
-            self._arrived[tenant_index] += 1 - SHARE_MEMORY
+            self._arrived[tenant_index] += 1 - QUOTA_DECAY
 
     def on_admission(self, tenant_index: int) -> None:
-        """Count an admitted request, and let the older counts decay."""
+        """Count an admitted request, and decay the previous counts."""
         if not 0 <= tenant_index < len(self._admitted):
             return
-        self._admitted = [SHARE_MEMORY * count for count in self._admitted]
-        self._arrived = [SHARE_MEMORY * count for count in self._arrived]
-        self._admitted[tenant_index] += 1 - SHARE_MEMORY
+        self._admitted = [QUOTA_DECAY * count for count in self._admitted]
+        self._arrived = [QUOTA_DECAY * count for count in self._arrived]
+        self._admitted[tenant_index] += 1 - QUOTA_DECAY
         self._admitted_total = sum(self._admitted)
 
-    def standing(self, tenant_index: int) -> QuotaStanding:
-        """Return how the tenant stands against its share.
+    def status(self, tenant_index: int) -> QuotaStatus:
+        """Return the tenant's demand and usage relative to its share.
 
-        What a tenant was given is not enough to tell: a greedy tenant that gets only what the others leave
-        over would look as modest as they are, and would take capacity from them.
+        Usage alone is not sufficient: a tenant with excessive demand that only gets spare capacity would rank
+        with the tenants that stay within their shares, and would take capacity from them.
         """
         if not 0 <= tenant_index < len(self._shares):
-            return QuotaStanding.OVER_QUOTA
+            return QuotaStatus.OVER_QUOTA
         quota = self._shares[tenant_index] * self._admitted_total
-        # The standard deviation of a decaying mean of random arrivals at this rate.
-        quota += SHARE_DEVIATIONS * math.sqrt(quota * (1 - SHARE_MEMORY) / 2)
+        # Standard deviation of an exponentially decaying mean of random arrivals at this rate.
+        quota += QUOTA_TOLERANCE_DEVIATIONS * math.sqrt(quota * (1 - QUOTA_DECAY) / 2)
         if self._arrived[tenant_index] <= quota:
-            return QuotaStanding.WITHIN_QUOTA
+            return QuotaStatus.WITHIN_QUOTA
         if self._admitted[tenant_index] <= quota:
-            return QuotaStanding.UNDERSERVED
-        return QuotaStanding.OVER_QUOTA
+            return QuotaStatus.UNDERSERVED
+        return QuotaStatus.OVER_QUOTA
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -1,4 +1,4 @@
-"""Admission control in virtual time: it finds the capacity, follows it, divides it, and is not fooled."""
+"""Simulations of admission control in virtual time: goodput, adaptation to capacity, fairness and bursts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SERVERS = 6
 CORES = 2
 WORK_US = 45_000
-CAPACITY = SERVERS * CORES / WORK_US * SECOND_US  # requests a second
+CAPACITY = SERVERS * CORES / WORK_US * SECOND_US  # requests per second
 
 
 def make_model(**fields: Any) -> AdmissionModel:
@@ -25,10 +25,10 @@
 
 
 @pytest.mark.parametrize("controllers", [1, 4])
-@pytest.mark.parametrize("over", [2, 4, 10])
-def test_goodput_under_overload_stays_at_the_capacity(over: int, controllers: int) -> None:
+@pytest.mark.parametrize("overload_factor", [2, 4, 10])
+def test_goodput_under_overload_stays_at_the_capacity(overload_factor: int, controllers: int) -> None:
     model = make_model(settings=make_settings(router_count=controllers), controllers=controllers)
-    model.load(Load(over * CAPACITY))
+    model.load(Load(overload_factor * CAPACITY))
     model.run(12 * SECOND_US)
     assert model.rate(Result.SERVED, 2 * SECOND_US, 12 * SECOND_US) > 0.93 * CAPACITY
     assert model.rate(Result.LATE, 0, 12 * SECOND_US) == 0
@@ -47,7 +47,7 @@
     assert model.rate(Result.SERVED, 6 * SECOND_US, 10 * SECOND_US) < 0.1 * CAPACITY
 
 
-def test_limit_after_capacity_halves_and_doubles_follows_it() -> None:
+def test_limit_adapts_when_capacity_halves_and_doubles() -> None:
     model = make_model()
     model.load(Load(3 * CAPACITY))
     for index in range(3):
@@ -64,18 +64,18 @@
         assert max(values) < 1.4 * mean, "the limit swings"
 
 
-def test_burst_on_an_idle_group_is_served_as_far_as_the_objective_allows() -> None:
+def test_burst_on_an_idle_group_is_queued_within_the_latency_objective() -> None:
     model = make_model()
     model.load(Load(0.1 * CAPACITY))
     model.burst(5 * SECOND_US, 300)
     model.run(10 * SECOND_US)
     served = sum(end.result is Result.SERVED and end.arrived_us == 5 * SECOND_US for end in model.endings)
-    # What the endpoints complete within the permitted sojourn, besides what they admit at once.
+    # What the endpoints complete within the maximum sojourn time, in addition to what is admitted at once.
     assert served > 0.15 * 0.6 * CAPACITY
     assert all(end.result in (Result.SERVED, Result.REJECTED) for end in model.endings)
 
 
-def test_service_after_ten_times_the_capacity_recovers() -> None:
+def test_goodput_recovers_after_ten_times_the_capacity() -> None:
     model = make_model()
     model.load(Load(10 * CAPACITY, end_us=60 * SECOND_US))
     model.load(Load(0.5 * CAPACITY, start_us=60 * SECOND_US))
@@ -84,7 +84,7 @@
     assert model.rate(Result.REJECTED, 61 * SECOND_US, 70 * SECOND_US) < 0.01 * CAPACITY
 
 
-def test_greedy_tenant_takes_nothing_from_tenants_within_their_share() -> None:
+def test_greedy_tenant_takes_no_capacity_from_tenants_within_their_share() -> None:
     tenants = (Tenant("greedy", 0.4, 0), Tenant("b", 0.3, 0), Tenant("c", 0.3, 0))
     model = make_model(settings=make_settings(tenants=tenants))
     model.load(Load(4 * CAPACITY, tenant_index=0))
@@ -98,21 +98,21 @@
         )
         assert rejected < 0.03 * served
     assert model.rate(Result.SERVED, 3 * SECOND_US, 15 * SECOND_US) > 0.93 * CAPACITY, (
-        "what the others leave is the greedy one's"
+        "the greedy tenant gets the spare capacity"
     )
 
 
 def test_requests_of_higher_weight_under_overload_are_served_first() -> None:
-    classes = (make_request_class("cheap", 1.0), make_request_class("dear", 4.0))
+    classes = (make_request_class("low-weight", 1.0), make_request_class("high-weight", 4.0))
     model = make_model(settings=make_settings(classes))
     model.load(Load(3.5 * CAPACITY, class_index=0))
     model.load(Load(0.5 * CAPACITY, class_index=1))
     model.run(12 * SECOND_US)
-    dear, cheap = (
+    high_weight, low_weight = (
         model.rate(Result.SERVED, 3 * SECOND_US, 12 * SECOND_US, class_index=index) for index in (1, 0)
     )
-    best = 4 * 0.5 * CAPACITY + 0.5 * CAPACITY
-    assert 4 * dear + cheap > 0.95 * best
+    optimum = 4 * 0.5 * CAPACITY + 0.5 * CAPACITY
+    assert 4 * high_weight + low_weight > 0.95 * optimum
 
 
 def test_limit_during_fast_errors_does_not_rise() -> None:
@@ -128,7 +128,7 @@
 
 
 def test_alternative_limits_fall_short_of_the_capacity() -> None:
-    """So that the note's reasons stay true: each falls falls_short where the one in use does not."""
+    """Verifies docs/design/admission.md: each alternative stays below the goodput of the limit in use."""
     falls_short = {}
     for name, limit in ALTERNATIVES.items():
         model = make_model(make_limit=limit)
@@ -138,9 +138,9 @@
     assert all(falls_short.values())
 
 
-def bursts_served(model: AdmissionModel, pause_us: int, count: int = 10, size: int = 200) -> list[int]:
-    """Play bursts with a pause between any two; return how many requests of each were served."""
-    starts_us = [5 * SECOND_US + number * pause_us for number in range(count)]
+def served_per_burst(model: AdmissionModel, interval_us: int, count: int = 10, size: int = 200) -> list[int]:
+    """Simulate bursts at a fixed interval; return the number of requests served of each."""
+    starts_us = [5 * SECOND_US + number * interval_us for number in range(count)]
     for start_us in starts_us:
         model.burst(start_us, size)
     model.run(starts_us[-1] + 5 * SECOND_US)
@@ -148,19 +148,21 @@
     return [served[start_us] for start_us in starts_us]
 
 
-@pytest.mark.parametrize("quiet", [0.0, 0.02])
-@pytest.mark.parametrize("pause_us", [1 * SECOND_US, 3 * SECOND_US, 10 * SECOND_US])
-def test_burst_after_other_bursts_is_served_as_the_first_one(pause_us: int, quiet: float) -> None:
-    """Guards against lanes that refuse a burst for the end of the last one, or for the pause behind it."""
+@pytest.mark.parametrize("background_load", [0.0, 0.02])
+@pytest.mark.parametrize("interval_us", [1 * SECOND_US, 3 * SECOND_US, 10 * SECOND_US])
+def test_burst_after_other_bursts_is_served_like_the_first_one(
+    interval_us: int, background_load: float
+) -> None:
+    """Guards against rejections of a burst caused by the end of the previous one or the pause after it."""
     model = make_model()
-    if quiet:
-        model.load(Load(quiet * CAPACITY))
-    first, *others = bursts_served(model, pause_us)
+    if background_load:
+        model.load(Load(background_load * CAPACITY))
+    first, *others = served_per_burst(model, interval_us)
     assert min(others) > 0.8 * first, (first, others)
 
 
-def test_burst_after_slow_answers_to_a_few_requests_is_served_as_by_a_group_that_had_none() -> None:
-    """Guards against a limit that falls to its minimum by slow answers while next to nothing is in flight."""
+def test_burst_after_a_few_slow_responses_is_served_like_one_without_them() -> None:
+    """Guards against a limit that falls to its minimum on slow responses while few requests are in flight."""
     served = []
     for speed in (0.1, 1.0):
         model = make_model()
@@ -168,6 +170,6 @@
         for server in model.servers:
             server.speed = speed
             model.at(2 * SECOND_US, partial(setattr, server, "speed", 1.0))
-        served.append(bursts_served(model, SECOND_US, count=1)[0])
-    after_slow_answers, without = served
-    assert after_slow_answers > 0.8 * without
+        served.append(served_per_burst(model, SECOND_US, count=1)[0])
+    after_slow_responses, without_them = served
+    assert after_slow_responses > 0.8 * without_them
