--- a/juniperreel/pool/__init__.py
+++ b/juniperreel/pool/__init__.py
@@ -1,1 +1,1 @@
-"""Connection pools for MySQL endpoints: connections, their session state, and what servers report on them."""
+"""Connection pools for MySQL endpoints: connections, session state and endpoint status."""
--- a/juniperreel/pool/config.py
+++ b/juniperreel/pool/config.py
@@ -1,4 +1,4 @@
-"""Settings of connections and pools. Plain records; times are microseconds."""
+"""Configuration of connections and pools. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendConfig:
-    """How connections log in to a backend's servers, and what each of them may buffer.
+    """Credentials and buffer limits of the connections to a backend's servers.
 
     Attributes:
-        max_result_bytes: Of one result that may not be streamed; a longer one is an error.
-        max_prepared_statements: Cached on one connection.
+        max_result_bytes: The maximum size of a result that may not be streamed; a larger one is an error.
+        max_prepared_statements: The maximum number of statements cached per connection.
     """
 
     user: str
@@ -33,15 +33,15 @@
     """Limits of the pool of one endpoint.
 
     Attributes:
-        max_connections: Leased, idle and opening ones together.
-        min_connections: Kept open even when idle.
-        max_waiters: Requests that may wait for a connection at once.
-        acquire_timeout_us: How long a request may wait.
-        idle_timeout_us: After which an idle connection beyond `min_connections` is closed.
-        max_lifetime_us: After which a connection is not leased again; each gets 80 to 100% of it.
-        open_rate: Connections opened per second, sustained.
-        open_burst: Connections opened at once.
-        tenant_shares: Relative share of each tenant, by tenant number.
+        max_connections: The maximum number of leased, idle and opening connections.
+        min_connections: The number of connections kept open even when idle.
+        max_waiters: The maximum number of requests waiting for a connection.
+        acquire_timeout_us: The maximum time that a request waits.
+        idle_timeout_us: The time after which an idle connection above `min_connections` is closed.
+        max_lifetime_us: The age after which a connection is not leased again; each gets 80 to 100% of it.
+        open_rate: The sustained rate of connection openings, per second.
+        open_burst: The number of connections that may be opened at once.
+        tenant_shares: The relative share of each tenant, by tenant number.
     """
 
     max_connections: int
--- a/juniperreel/pool/connection.py
+++ b/juniperreel/pool/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a MySQL server: the task that reads it, and exchanges of statements on it.
+"""A connection to a MySQL server: its reader task, and pipelined exchanges of statements.
 
-The statements of one exchange are sent together (pipelined) and answered one after another. A connection on
-which an exchange was interrupted is closed, since a later response could no longer be matched to its request.
+The statements of an exchange are pipelined: sent together and answered in order. A connection is closed if an
+exchange on it is interrupted, since later responses could no longer be matched to their requests.
 """
 
 from __future__ import annotations
@@ -26,11 +26,9 @@
 from juniperreel.pool.result import Result, Statement
 from juniperreel.pool.session_state import INITIAL_SESSION_STATE
 
-MAX_BUFFERED_ROW_BYTES = 256 << 10  # rows received and not yet consumed; above it, reading pauses
-STREAMED_FROM_BYTES = (
-    256 << 10
-)  # buffered of a result that may be streamed, before its first part is returned
-STREAM_CHUNK_BYTES = 64 << 10  # rows returned by one call of `next_rows`
+MAX_BUFFERED_ROW_BYTES = 256 << 10  # received and not yet consumed; reading pauses above it
+STREAM_THRESHOLD_BYTES = 256 << 10  # a result that may be streamed is returned once this much is buffered
+STREAM_CHUNK_BYTES = 64 << 10  # returned by one call of `next_rows`
 QUIT_TIMEOUT_S = 1.0
 STREAM_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 CLOSED_LOCALLY = "closed here"
@@ -38,13 +36,13 @@
 
 
 class BackendConnection:
-    """An open connection, logged in. Its `run` must be running while it is used.
+    """An open, authenticated connection. `run` must be running while it is used.
 
     Attributes:
         session: The client side of the protocol.
-        session_state: The session variables in effect on the server's side.
-        prepared_statements: What is prepared on this connection.
-        close_reason: Why the connection can no longer be used; empty while it can.
+        session_state: The session variables in effect on the server.
+        prepared_statements: The statements prepared on this connection.
+        close_reason: Why the connection is no longer usable; empty while it is.
     """
 
     def __init__(self, stream: trio.abc.Stream, session: ClientSession, config: BackendConfig) -> None:
@@ -90,12 +88,12 @@
 
     @property
     def thread_id(self) -> int:
-        """The connection's id at its server, as `kill` takes it."""
+        """The connection id that the server assigned, as used by `KILL`."""
         return self.session.connection_id
 
     @property
     def closed_locally(self) -> bool:
-        """Whether this side closed the connection, and not the server or the network."""
+        """Whether this side closed the connection, rather than the server or the network."""
         return self.close_reason == CLOSED_LOCALLY
 
     async def run(self) -> None:
@@ -109,7 +107,7 @@
                 await trio.aclose_forcefully(self._stream)
 
     def close(self) -> None:
-        """Close at once; the server rolls back what is open on the connection."""
+        """Close immediately; the server rolls back any open transaction."""
         self._mark_closed(CLOSED_LOCALLY)
         self._cancel_scope.cancel()
 
@@ -126,35 +124,35 @@
         self,
         statements: Sequence[Statement],
         attributes: Mapping[str, Value] | None = None,
-        main_index: int = 0,
+        attributes_index: int = 0,
         stream: bool = False,
     ) -> list[Result | Err]:
         """Run all statements, even if an earlier one fails, and return the response to each.
 
-        Closes the connection when it raises or is cancelled.
+        Closes the connection if it raises or is cancelled.
 
         Args:
             statements: Sent together, in this order.
-            attributes: Query attributes, sent with one of the statements.
-            main_index: Which statement gets the attributes.
-            stream: Whether the last statement's result may be returned before all of its rows arrived, with
-                the others in `Result.remaining_rows`.
+            attributes: Query attributes, sent with one of the statements only.
+            attributes_index: The index of the statement that gets the attributes.
+            stream: Whether the last statement's result may be returned before all of its rows have arrived;
+                the rest is then in `Result.remaining_rows`.
 
         Raises:
             ConnectionLostError: The connection broke.
             ResultTooLargeError: A result that may not be streamed exceeds `max_result_bytes`.
         """
         try:
-            return await self._exchange(statements, attributes, main_index, stream)
+            return await self._exchange(statements, attributes, attributes_index, stream)
         except BaseException:
             self.close()
             raise
 
     async def next_event(self) -> client.Event:
-        """The next protocol event, which belongs to the oldest statement without a complete response.
+        """Return the next protocol event; it belongs to the oldest statement without a complete response.
 
         Raises:
-            ConnectionLostError: The connection broke and no event is left.
+            ConnectionLostError: The connection broke and no events are buffered.
         """
         while not self._events:
             if self.close_reason:
@@ -173,8 +171,8 @@
     async def _read_loop(self) -> None:
         while not self.close_reason:
             while self._buffered_row_bytes > MAX_BUFFERED_ROW_BYTES:
-                # Danger: without this pause, a client that reads slowly lets its result fill this process's
-                # memory. With it, TCP flow control slows the server down.
+                # Danger: without this pause, the result of a slow client would fill this process's memory.
+                # TCP flow control slows the server down instead.
                 self._buffer_drained = trio.Event()
                 await self._buffer_drained.wait()
             try:
@@ -205,7 +203,7 @@
         self._event_received.set()
 
     def _check_open(self) -> None:
-        """Raise ConnectionLostError if the connection was closed before anything was sent on it."""
+        """Raise ConnectionLostError(sent=False) if the connection is already closed."""
         if self.close_reason:
             raise ConnectionLostError(self.close_reason, sent=False)
 
@@ -213,7 +211,7 @@
         self,
         statements: Sequence[Statement],
         attributes: Mapping[str, Value] | None,
-        main_index: int,
+        attributes_index: int,
         stream: bool,
     ) -> list[Result | Err]:
         self._check_open()
@@ -223,7 +221,7 @@
         if prepare_error is not None:
             return [prepare_error] * len(statements)
         for index, statement in enumerate(statements):
-            statement_attributes = attributes if index == main_index else None
+            statement_attributes = attributes if index == attributes_index else None
             self._queue_statement(statement, parse_context, statement_attributes)
         await self._send()
         responses: list[Result | Err] = []
@@ -233,7 +231,7 @@
         return responses
 
     async def _prepare_missing(self, statements: Sequence[Statement], parse_context: str) -> Err | None:
-        """Prepare what is not prepared yet; return the error that prevented it, if any."""
+        """Prepare the statements that are not prepared yet; return the error of the first failure, if any."""
         for statement in statements:
             key = StatementKey(statement.text, parse_context)
             if statement.prepared and self.prepared_statements.get(key) is None:
@@ -285,7 +283,7 @@
         return response
 
     async def _receive_results(self, binary: bool, may_stream: bool) -> Result | Err:
-        """All results of one statement; a stored procedure may return several."""
+        """Return the result of a statement; additional ones, as of a stored procedure, are attached to it."""
         first: Result | None = None
         while True:
             result = await self._receive_result(binary, may_stream)
@@ -311,8 +309,8 @@
                 raise unexpected_event(event)
 
     async def _receive_rows(self, result: Result, may_stream: bool) -> Result | Err:
-        # What may be passed on in parts must not wait until it is whole: the time-out is that of a response.
-        limit = min(self._max_result_bytes, STREAMED_FROM_BYTES) if may_stream else self._max_result_bytes
+        # A result that may be streamed is not buffered completely, which could exceed the response timeout.
+        limit = min(self._max_result_bytes, STREAM_THRESHOLD_BYTES) if may_stream else self._max_result_bytes
         size = 0
         while True:
             event = await self.next_event()
@@ -336,12 +334,12 @@
 
 
 class ConnectionRowStream:
-    """The rows of a long result that have not been returned yet, read directly from the connection.
+    """The remaining rows of a long result, read directly from the connection.
 
     Attributes:
-        ok: How the result ended; valid once `next_rows` returned no rows.
-        ended: Whether the result was read to its end, or closed.
-        finished: Set when `ended` becomes true: the connection is free, or closed.
+        ok: The final status of the result; valid once `next_rows` has returned no rows.
+        ended: Whether the result was read to the end or closed.
+        finished: Set when `ended` becomes true; the connection is then free or closed.
     """
 
     def __init__(self, connection: BackendConnection) -> None:
@@ -351,10 +349,10 @@
         self.finished = trio.Event()
 
     async def next_rows(self) -> list[bytes]:
-        """Some more rows; none at the end. Closes the connection when it raises or is cancelled.
+        """Return more rows, or none at the end. Closes the connection if it raises or is cancelled.
 
         Raises:
-            StatementError: The statement failed after some of its rows; the connection stays usable.
+            StatementError: The statement failed after returning some rows; the connection remains usable.
             ConnectionLostError: The connection broke.
         """
         try:
@@ -367,8 +365,8 @@
         """Discard the remaining rows. Unless all were read, this closes the connection."""
         if self.ended:
             return
-        # The next statement's response only follows after all remaining rows; closing is cheaper than
-        # reading them.
+        # The response to the next statement follows all remaining rows; closing is cheaper than reading
+        # them.
         self._connection.close()
         self._finish()
 
@@ -397,5 +395,5 @@
 
 
 def unexpected_event(event: client.Event) -> ConnectionLostError:
-    """The error for a response that no statement of ours can have."""
+    """Return the error for a response that does not match any statement sent."""
     return ConnectionLostError(f"the server answered with {type(event).__name__}", sent=True)
--- a/juniperreel/pool/login.py
+++ b/juniperreel/pool/login.py
@@ -1,4 +1,4 @@
-"""The login to a MySQL server, with TLS if it is configured."""
+"""Authentication to a MySQL server, with TLS if configured."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 async def log_in(
     stream: trio.abc.Stream, session: ClientSession, host: str, tls: ssl.SSLContext | None
 ) -> trio.abc.Stream:
-    """Log in on a fresh connection, and return the stream to use from then on: the TLS stream, if any.
+    """Log in on a new connection and return the stream to use afterwards, which is the TLS stream if any.
 
     Raises:
         ConnectError: The server rejected the login, or closed the connection.
--- a/juniperreel/pool/result.py
+++ b/juniperreel/pool/result.py
@@ -1,4 +1,4 @@
-"""Statements to run, and their results as the server sent them: rows stay bytes, for clients of MySQL."""
+"""Statements and their results. Rows remain encoded as the server sent them, to be passed on to clients."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class RowStream(Protocol):
-    """The rows of a result that are not buffered yet. Must be read to the end, or closed."""
+    """The rows of a result that are not buffered yet. Must be read to the end or closed."""
 
     async def next_rows(self) -> list[bytes]:
-        """Some rows; none at the end, from when on `ok` is valid. Raises what ends a statement."""
+        """Return more rows, or none at the end, after which `ok` is valid. Raises if the statement fails."""
         ...
 
     def close(self) -> None:
-        """Discard the rows that were not read."""
+        """Discard the unread rows."""
         ...
 
     @property
     def ok(self) -> Ok:
-        """How the result ended."""
+        """The final status of the result."""
         ...
 
 
@@ -34,11 +34,11 @@
     """The result of one statement.
 
     Attributes:
-        columns: Empty for a statement that returns no rows.
-        rows: Encoded rows, in the text protocol or, with `binary`, in the binary one.
-        ok: How the result ended; not valid before `remaining_rows` was read to its end.
+        columns: The result's columns; empty for a statement that returns no rows.
+        rows: The rows, encoded in the text protocol or, with `binary`, in the binary protocol.
+        ok: The final status; only valid after `remaining_rows` was read to the end.
         remaining_rows: The rows after `rows`, if the result is streamed.
-        additional_results: Further results of the same statement, as a stored procedure may return.
+        additional_results: Further results of the same statement, as returned by stored procedures.
     """
 
     columns: tuple[Column, ...] = ()
@@ -49,7 +49,7 @@
     additional_results: list[Result] = field(default_factory=list)
 
     def values(self) -> list[list[Value]]:
-        """The decoded rows, without `remaining_rows`.
+        """Return the decoded rows, without `remaining_rows`.
 
         Raises:
             ProtocolError: A row is malformed.
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """A statement to run: as text or, with `binary` or `values`, prepared and executed."""
+    """A statement, run as text or, with `binary` or `values`, as a prepared statement."""
 
     text: bytes
     values: Sequence[Value] = ()
@@ -68,5 +68,5 @@
 
     @property
     def prepared(self) -> bool:
-        """Whether it is run as a prepared statement."""
+        """Whether the statement is run as a prepared statement."""
         return self.binary or bool(self.values)
--- a/juniperreel/pool/types.py
+++ b/juniperreel/pool/types.py
@@ -1,4 +1,4 @@
-"""Requests to a pool, leases on its connections, and the actions it asks its caller to carry out."""
+"""Pool requests, leases, and the actions that the pool's caller executes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request got no connection. The values are label values of a metric: do not change them."""
+    """Why a request was rejected. The values are label values of a metric: do not change them."""
 
     TIMED_OUT = "no connection came free in time"
     QUEUE_FULL = "too many wait"
@@ -26,9 +26,9 @@
     """A request for one connection.
 
     Attributes:
-        id: Unique among the requests of one pool.
-        priority_weight: Higher goes first within a tenant.
-        session_state: A connection whose state equals it is preferred, since nothing has to be replayed.
+        id: Unique among the requests of a pool.
+        priority_weight: Higher weights are served first within a tenant.
+        session_state: A connection with an equal state is preferred, since nothing has to be replayed.
     """
 
     id: Hashable
@@ -40,10 +40,10 @@
 
 @dataclass(eq=False, slots=True)
 class Lease(Generic[ConnectionT]):
-    """The exclusive use of one connection for one transaction.
+    """Exclusive use of a connection for one transaction.
 
-    Danger: releasing a lease twice would put its connection into the pool twice, so that two clients share
-    it. `released` is set by the first release; the pool raises ValueError on a second.
+    Danger: releasing a lease twice would add its connection to the pool twice, and two clients would share
+    it. The first release sets `released`; the pool raises ValueError on a second one.
     """
 
     connection: ConnectionT
@@ -53,26 +53,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted(Generic[ConnectionT]):
-    """Hand the lease to whoever made its request."""
+    """Deliver the lease to its requester."""
 
     lease: Lease[ConnectionT]
 
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Open one connection; report `connection_opened`, `open_failed` or `open_abandoned`."""
+    """Open a connection, then call `connection_opened`, `open_failed` or `open_abandoned`."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection(Generic[ConnectionT]):
-    """Close this connection; the pool has forgotten it."""
+    """Close the connection, which the pool has already removed."""
 
     connection: ConnectionT
 
 
 @dataclass(frozen=True, slots=True)
 class AcquireRejected:
-    """Tell whoever made the request that it gets no connection."""
+    """Notify the requester that its request was rejected."""
 
     request: AcquireRequest
     reason: RejectionReason
--- a/tests/pool/test_connection.py
+++ b/tests/pool/test_connection.py
@@ -1,4 +1,4 @@
-"""One backend connection alone: TLS, rejected logins, servers that close or stall, long results."""
+"""Tests of a single backend connection: TLS, rejected logins, servers that close or stall, long results."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 CONFIG = BackendConfig("edge", b"secret", max_result_bytes=10_000)
 NONCE = bytes(range(1, 21))
-SEC = 1_000_000
+SECOND_US = 1_000_000
 Serve = Callable[[ServerSession, trio.abc.Stream, Command], Awaitable[list[Event] | None]]
 
 
 async def respond(session: ServerSession, _stream: trio.abc.Stream, command: Command) -> list[Event] | None:
-    """None ends the connection."""
+    """Handle a command; a result of None closes the connection."""
     text = command.payload
     if command.kind == CommandCode.STMT_PREPARE:
         return session.prepared(5, text.count(b"?"))
@@ -39,9 +39,9 @@
         return session.error(1243, "HY000", "unknown")
     if command.kind == CommandCode.STMT_CLOSE:
         return session.no_response()
-    if text == b"dies":
+    if text == b"close":
         return None
-    if text == b"hangs":
+    if text == b"stall":
         await trio.sleep_forever()
     if text.startswith(b"rows"):
         return session.result([Column("a", 253)], [["x" * 100]] * int(text[4:]))
@@ -51,7 +51,7 @@
 async def serve_client(
     stream: trio.abc.Stream, serve: Serve, plugin: str, tls: ssl.SSLContext | None
 ) -> None:
-    """The server side of one connection, until either side closes it."""
+    """Run the server side of a connection until either side closes it."""
     users = {"edge": Credential.from_password(b"secret")}
     session = ServerSession(3, NONCE, users.get, 1 << 20, plugin, tls is not None)
     session.start()
@@ -80,7 +80,7 @@
 async def start_server(
     nursery: trio.Nursery, serve: Serve = respond, plugin: str = SHA2, tls: ssl.SSLContext | None = None
 ) -> int:
-    """Serve on loopback; return the port."""
+    """Start a server on the loopback interface and return its port."""
 
     async def handle(stream: trio.SocketStream) -> None:
         try:
@@ -97,13 +97,15 @@
 async def open_connection(
     nursery: trio.Nursery, port: int, config: BackendConfig = CONFIG
 ) -> BackendConnection:
-    connection = await BackendConnection.open(TcpNetwork(), "127.0.0.1", port, config, 5 * SEC)
+    connection = await BackendConnection.open(TcpNetwork(), "127.0.0.1", port, config, 5 * SECOND_US)
     nursery.start_soon(connection.run)
     return connection
 
 
 @pytest.mark.parametrize("plugin", [SHA2, NATIVE])
-async def test_tls_certificate_of_another_authority_is_rejected(nursery: trio.Nursery, plugin: str) -> None:
+async def test_tls_certificate_of_an_untrusted_authority_is_rejected(
+    nursery: trio.Nursery, plugin: str
+) -> None:
     authority = trustme.CA()
     other_authority = trustme.CA()
     server_context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -119,19 +121,23 @@
     other_authority.configure_trust(untrusting_context)
     with pytest.raises(ConnectError):
         await BackendConnection.open(
-            TcpNetwork(), "127.0.0.1", port, replace(CONFIG, tls=untrusting_context), 5 * SEC
+            TcpNetwork(), "127.0.0.1", port, replace(CONFIG, tls=untrusting_context), 5 * SECOND_US
         )
     with pytest.raises(LoginRejectedError):
         await BackendConnection.open(
-            TcpNetwork(), "127.0.0.1", await start_server(nursery), replace(CONFIG, tls=context), 5 * SEC
+            TcpNetwork(),
+            "127.0.0.1",
+            await start_server(nursery),
+            replace(CONFIG, tls=context),
+            5 * SECOND_US,
         )
 
 
-async def test_open_without_a_login_raises_the_reason(nursery: trio.Nursery) -> None:
+async def test_failed_open_raises_the_cause(nursery: trio.Nursery) -> None:
     port = await start_server(nursery)
     with pytest.raises(LoginRejectedError) as rejected:
         await BackendConnection.open(
-            TcpNetwork(), "127.0.0.1", port, replace(CONFIG, password=b"wrong"), 5 * SEC
+            TcpNetwork(), "127.0.0.1", port, replace(CONFIG, password=b"wrong"), 5 * SECOND_US
         )
     assert rejected.value.code == 1045
 
@@ -141,7 +147,7 @@
         await BackendConnection.open(TcpNetwork(), "127.0.0.1", port, CONFIG, 100_000)
     await listener.aclose()
     with pytest.raises(ConnectRefusedError):
-        await BackendConnection.open(TcpNetwork(), "127.0.0.1", port, CONFIG, 5 * SEC)
+        await BackendConnection.open(TcpNetwork(), "127.0.0.1", port, CONFIG, 5 * SECOND_US)
 
 
 async def test_lost_connection_says_whether_the_statement_was_sent(nursery: trio.Nursery) -> None:
@@ -149,17 +155,17 @@
     responses = await connection.exchange([Statement(b"one"), Statement(b"three"), Statement(b"rows2")])
     assert [a.ok.affected for a in responses[:2] if isinstance(a, Result)] == [3, 5]
     with pytest.raises(ConnectionLostError) as lost:
-        await connection.exchange([Statement(b"dies")])
+        await connection.exchange([Statement(b"close")])
     assert lost.value.sent
     with pytest.raises(ConnectionLostError) as lost:
         await connection.exchange([Statement(b"one")])
-    assert not lost.value.sent, "the connection was known to be closed"
+    assert not lost.value.sent, "the connection was already closed"
 
 
 async def test_cancelled_exchange_closes_the_connection(nursery: trio.Nursery) -> None:
     connection = await open_connection(nursery, await start_server(nursery))
     with trio.move_on_after(0.05):
-        await connection.exchange([Statement(b"hangs"), Statement(b"one")])
+        await connection.exchange([Statement(b"stall"), Statement(b"one")])
     assert connection.close_reason == CLOSED_LOCALLY
 
 
@@ -183,13 +189,13 @@
     assert isinstance(result, Result)
     assert result.remaining_rows is not None
     result.remaining_rows.close()
-    assert connection.close_reason, "the remaining rows would be taken for the next response"
+    assert connection.close_reason, "the remaining rows would be read as the next response"
 
 
-async def test_first_part_of_a_streamed_result_does_not_wait_for_the_others(nursery: trio.Nursery) -> None:
-    """Guards against long results that ran out of time, though their rows came all the time."""
+async def test_first_part_of_a_streamed_result_is_returned_before_the_rest(nursery: trio.Nursery) -> None:
+    """Guards against long results that time out although their rows arrive continuously."""
 
-    async def respond_in_part(
+    async def respond_partially(
         session: ServerSession, stream: trio.abc.Stream, _command: Command
     ) -> list[Event]:
         session.begin_result([Column("a", 253)])
@@ -199,7 +205,7 @@
         raise AssertionError
 
     config = replace(CONFIG, max_result_bytes=1 << 30)
-    port = await start_server(nursery, respond_in_part)
+    port = await start_server(nursery, respond_partially)
     connection = await open_connection(nursery, port, config)
     with trio.fail_after(10):
         (result,) = await connection.exchange([Statement(b"rows")], stream=True)
