--- a/juniperreel/pool/endpoint_status.py
+++ b/juniperreel/pool/endpoint_status.py
@@ -1,15 +1,15 @@
-"""A MySQL server's role, replication position and load, from what it publishes. No I/O.
+"""Parses a MySQL server's role, replication position and load. No I/O.
 
-The role is `@@global.read_only`. Positions come from a heartbeat table that replicates like any other, with
-one row for each epoch of the group, in the manner of pt-heartbeat:
+The role is `@@global.read_only`. Positions are read from a replicated heartbeat table with one row per epoch
+of the group, similar to pt-heartbeat:
 
     create table juniperreel.heartbeat (
       epoch bigint unsigned primary key, start bigint unsigned not null, ts bigint unsigned not null)
 
-The primary writes its clock into `ts` of the last row several times a second; a replica that has applied a
-row has applied everything that was committed before its `ts` was read. Whoever promotes a primary adds the
-next epoch's row, with the last position that the new primary took over in `start`. Times are microseconds
-since the Unix epoch.
+The primary writes its clock into `ts` of the last row several times per second; a replica that has applied a
+row has applied everything committed before its `ts` was read. The operator or tool that promotes a primary
+inserts the row of the next epoch, with the last position that the new primary has applied in `start`. Times
+are in microseconds since the Unix epoch.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 )
 GTID_QUERY = b"select @@global.gtid_executed"
 LOAD_QUERY = b"show global status like 'Threads_running'"
-MAX_EPOCHS = 16  # the latest are used, older ones ignored
+MAX_EPOCHS = 16  # older epochs are ignored
 
 
 class HeartbeatEpoch(NamedTuple):
-    """One epoch of a group, as its row of the heartbeat table has it."""
+    """An epoch of a group and its start position."""
 
     epoch: int
     start_us: int
 
 
 class _HeartbeatRow(NamedTuple):
-    """One row of the result of `STATUS_QUERY`."""
+    """A row of the result of `STATUS_QUERY`."""
 
     read_only: int
     clock_us: int
@@ -50,14 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """What an endpoint reported of itself.
+    """Status that an endpoint reported.
 
     Attributes:
         read_only: Whether it rejects writes, as replicas do.
-        clock_us: Its own clock when it answered.
-        position_us: Up to which it has applied everything, by its heartbeat table. Danger: the clock of a
-            primary that lost its replicas goes on, and would claim positions that the group never gets; its
-            heartbeat stops, where commits wait for a replica's acknowledgement.
+        clock_us: The endpoint's clock at the time of the response.
+        position_us: The position up to which it has applied all commits, from the heartbeat table. Danger:
+            the clock of a primary must not be used instead. It keeps advancing after the primary has lost its
+            replicas, and would report positions that the group never reaches; the heartbeat stops if commits
+            wait for the acknowledgement of a replica.
         epochs: The latest epochs, ascending.
     """
 
@@ -68,10 +69,10 @@
 
 
 def parse_status(rows: Sequence[Sequence[Value]]) -> EndpointStatus:
-    """The status from the rows of `STATUS_QUERY`.
+    """Parse the rows of `STATUS_QUERY`.
 
     Raises:
-        StatusUnavailableError: The heartbeat table is empty, or holds what it must not.
+        StatusUnavailableError: The heartbeat table is empty, or its contents are invalid.
     """
     heartbeats = [_parse_heartbeat(row) for row in rows[-MAX_EPOCHS:]]
     if not heartbeats:
@@ -95,10 +96,10 @@
 
 
 def parse_load(rows: Sequence[Sequence[Value]]) -> float:
-    """The number of running statements from the row of `LOAD_QUERY`, not counting the query itself.
+    """Parse the number of running statements from `LOAD_QUERY`, excluding the query itself.
 
     Raises:
-        StatusUnavailableError: There is no such row, or its value is not a number.
+        StatusUnavailableError: The row is missing, or its value is not a number.
     """
     try:
         ((_, running),) = rows
--- a/juniperreel/pool/error_codes.py
+++ b/juniperreel/pool/error_codes.py
@@ -1,9 +1,9 @@
-"""What a MySQL server's error code says about the statement, the transaction and the connection. No I/O.
+"""Classification of MySQL error codes by their effect on statement, transaction and connection. No I/O.
 
-Codes and their meanings are those of MySQL's "Server Error Message Reference". A code may be listed as
-READ_ONLY or OVERLOADED only if the data is certainly unchanged: the router retries such a request on another
-endpoint at once, writes included. A code in no table is the statement's own error, which the client gets as
-it is; one whose effect is in doubt is a SERVER_FAILURE.
+Codes and meanings are from MySQL's "Server Error Message Reference". A code may be listed as READ_ONLY or
+OVERLOADED only if the data is certainly unchanged: the router retries such requests on another endpoint
+immediately, including writes. Codes in no table are errors of the statement itself and are passed on to the
+client unchanged; a code whose effect is unknown is a SERVER_FAILURE.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ErrorCategory(Enum):
-    """What follows from an error."""
+    """The effect of an error."""
 
     STATEMENT_ERROR = "nothing took effect; another server would answer the same"
     READ_ONLY = "the server takes no writes; nothing took effect"
@@ -71,11 +71,13 @@
     }
 )
 
-TRANSACTION_ROLLBACK_CODES = frozenset({1213, 1614, 3101})  # of ABORTED_CODES: the transaction is over
-REPREPARE_CODES = frozenset({1243, 1615})  # nothing ran: the statement must be prepared again
+TRANSACTION_ROLLBACK_CODES = frozenset(
+    {1213, 1614, 3101}
+)  # the subset of ABORTED_CODES that ends the transaction
+REPREPARE_CODES = frozenset({1243, 1615})  # nothing was executed; the statement must be prepared again
 WRONG_ARGUMENT_COUNT = 1210
 
-_CATEGORIES = {
+_CATEGORY_BY_CODE = {
     **dict.fromkeys(READ_ONLY_CODES, ErrorCategory.READ_ONLY),
     **dict.fromkeys(OVERLOADED_CODES, ErrorCategory.OVERLOADED),
     **dict.fromkeys(ABORTED_CODES, ErrorCategory.ABORTED),
@@ -85,5 +87,5 @@
 
 
 def error_category(code: int) -> ErrorCategory:
-    """The category of a server's error code."""
-    return _CATEGORIES.get(code, ErrorCategory.STATEMENT_ERROR)
+    """Return the category of a server error code."""
+    return _CATEGORY_BY_CODE.get(code, ErrorCategory.STATEMENT_ERROR)
--- a/juniperreel/pool/errors.py
+++ b/juniperreel/pool/errors.py
@@ -1,7 +1,6 @@
-"""Every error that the pool raises, as one hierarchy.
+"""Exception hierarchy of this package.
 
-Subclasses that also derive from a built-in or from `ConnectError` do so because their callers catch them as
-such.
+Some classes also derive from a built-in exception or from `ConnectError`, because callers catch them as such.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 
 
 class PoolError(Exception):
-    """Base of the errors of this package."""
+    """Base class of all exceptions of this package."""
 
 
 class ConnectionLostError(PoolError):
     """The connection to the server broke.
 
     Attributes:
-        sent: Whether the server may have received, and executed, what was in flight.
+        sent: Whether the server may have received and executed the statements in flight.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -27,10 +26,10 @@
 
 
 class StatementError(PoolError):
-    """The server answered a statement with an ERR packet; the connection stays usable.
+    """The server returned an ERR packet for a statement; the connection remains usable.
 
     Attributes:
-        err: The decoded packet.
+        err: The decoded ERR packet.
     """
 
     def __init__(self, err: Err) -> None:
@@ -39,14 +38,14 @@
 
 
 class ResultTooLargeError(PoolError):
-    """A result exceeds the configured buffer, and the caller did not ask for a stream."""
+    """A result exceeds the configured buffer size, and streaming was not requested."""
 
 
 class LoginRejectedError(PoolError, ConnectError):
     """The server rejected the login; no statement was sent.
 
     Attributes:
-        code: The server's error code; 0 if it gave none.
+        code: The server's error code; 0 if there was none.
     """
 
     def __init__(self, reason: str, code: int) -> None:
@@ -55,12 +54,12 @@
 
 
 class StatusUnavailableError(PoolError):
-    """The server did not report its replication status, or not in the expected form."""
+    """The server did not report its status in the expected form."""
 
 
 class InvalidGtidError(PoolError, ValueError):
-    """Text that is not a GTID, or not a set of GTIDs."""
+    """The text is not a valid GTID or GTID set."""
 
 
 class SessionStateTooLargeError(PoolError, ValueError):
-    """A session sets more variables, or longer values, than the pool replays."""
+    """A session sets more variables, or longer values, than can be replayed."""
--- a/juniperreel/pool/gtid.py
+++ b/juniperreel/pool/gtid.py
@@ -1,4 +1,4 @@
-"""Sets of GTIDs, as MySQL writes them: `uuid:1-5:7,other:1-3` (reference manual, "GTID Sets"). No I/O."""
+"""MySQL GTID sets, such as `uuid:1-5:7,other:1-3` (reference manual, "GTID Sets"). No I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from juniperreel.pool.errors import InvalidGtidError
 
-SOURCE_SET = re.compile(
+SOURCE_SET_PATTERN = re.compile(
     r"([0-9a-f]{8}(?:-[0-9a-f]{4}){3}-[0-9a-f]{12})((?::[a-z_][a-z0-9_]{0,31}|:\d+(?:-\d+)?)+)\Z"
 )
 MAX_TEXT_LENGTH = 1 << 20
 
 
 class Interval(NamedTuple):
-    """Transaction numbers from `first` to `last`, both included."""
+    """Transaction numbers from `first` to `last`, inclusive."""
 
     first: int
     last: int
@@ -27,8 +27,8 @@
     """The id of one transaction.
 
     Attributes:
-        source: The UUID of the server that committed it first, followed by the tag if it has one.
-        number: Its sequence number at that server.
+        source: The UUID of the server that originally committed it, followed by the tag if there is one.
+        number: Its sequence number on that server.
     """
 
     source: str
@@ -36,33 +36,33 @@
 
     @staticmethod
     def parse(text: str) -> Gtid:
-        """Parse one GTID. Of a set, which a server may report for one commit, the last of its only source.
+        """Parse a GTID. For a set, which a server may report for a single commit, return its last GTID.
 
         Raises:
-            InvalidGtidError: The text is no GTID set, or has not exactly one source.
+            InvalidGtidError: The text is not a GTID set with exactly one source.
         """
         gtid_set = GtidSet.parse(text)
         if len(gtid_set.intervals) != 1:
-            raise InvalidGtidError(f"{text[:80]!r} is not of one source")
+            raise InvalidGtidError(f"{text[:80]!r} does not have exactly one source")
         ((source, intervals),) = gtid_set.intervals.items()
         return Gtid(source, intervals[-1].last)
 
 
 @dataclass(frozen=True, slots=True)
 class GtidSet:
-    """A set of transactions: the intervals of each source, ascending and neither touching nor overlapping."""
+    """A set of transactions: ascending intervals per source that are neither adjacent nor overlapping."""
 
     intervals: Mapping[str, tuple[Interval, ...]] = field(default_factory=dict)
 
     @staticmethod
     def parse(text: str) -> GtidSet:
-        """Parse a set; letter case and white space do not matter.
+        """Parse a GTID set, ignoring case and whitespace.
 
         Raises:
-            InvalidGtidError: The text is no GTID set, or is longer than `MAX_TEXT_LENGTH`.
+            InvalidGtidError: The text is not a GTID set, or is longer than `MAX_TEXT_LENGTH`.
         """
         if len(text) > MAX_TEXT_LENGTH:
-            raise InvalidGtidError(f"a set of {len(text)} characters")
+            raise InvalidGtidError(f"GTID set of {len(text)} characters exceeds {MAX_TEXT_LENGTH}")
         intervals: dict[str, list[Interval]] = {}
         for part in "".join(text.lower().split()).split(","):
             if part:
@@ -70,26 +70,26 @@
         return GtidSet({source: _merge_intervals(found) for source, found in intervals.items()})
 
     def __contains__(self, gtid: Gtid) -> bool:
-        """Whether the transaction is in the set."""
+        """Return whether the set contains the transaction."""
         return any(
             interval.first <= gtid.number <= interval.last for interval in self.intervals.get(gtid.source, ())
         )
 
 
 def _parse_source_set(part: str, intervals: dict[str, list[Interval]]) -> None:
-    """Add the intervals of one `uuid:interval...` to `intervals`; a tag applies to all that follow it."""
-    match = SOURCE_SET.match(part)
+    """Parse `uuid:interval...` into `intervals`; a tag applies to all intervals that follow it."""
+    match = SOURCE_SET_PATTERN.match(part)
     if match is None:
-        raise InvalidGtidError(f"{part[:80]!r} is no GTID set")
+        raise InvalidGtidError(f"{part[:80]!r} is not a GTID set")
     source = match[1]
-    for piece in match[2][1:].split(":"):
-        if not piece[0].isdigit():
-            source = f"{match[1]}:{piece}"
+    for element in match[2][1:].split(":"):
+        if not element[0].isdigit():
+            source = f"{match[1]}:{element}"
             continue
-        first, _, last = piece.partition("-")
+        first, _, last = element.partition("-")
         interval = Interval(int(first), int(last or first))
         if not 0 < interval.first <= interval.last:
-            raise InvalidGtidError(f"{piece[:40]!r} is no interval")
+            raise InvalidGtidError(f"{element[:40]!r} is not an interval of transaction numbers")
         intervals.setdefault(source, []).append(interval)
 
 
--- a/juniperreel/pool/prepared_statements.py
+++ b/juniperreel/pool/prepared_statements.py
@@ -1,6 +1,6 @@
-"""The statements that are prepared on one connection, by text.
+"""LRU cache of the statements prepared on a connection.
 
-An id is valid on its own connection only. The cache is bounded: the least recently used statement is closed.
+Statement ids are only valid on the connection on which the statement was prepared.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class StatementKey(NamedTuple):
-    """What identifies a prepared statement: its text, and the session state that decides how it is parsed."""
+    """Identifies a prepared statement: its text and the session state that affects how it is parsed."""
 
     text: bytes
     parse_context: str
 
 
 class PreparedStatementCache:
-    """An LRU cache from statements to the ids that the server gave them."""
+    """A bounded LRU cache that maps statements to server-assigned ids."""
 
     def __init__(self, max_statements: int) -> None:
         self._max_statements = max_statements
@@ -27,14 +27,14 @@
         return len(self._ids)
 
     def get(self, key: StatementKey) -> int | None:
-        """The statement's id, if it is prepared; marks it as just used."""
+        """Return the id of a statement, if it is prepared, and mark it as recently used."""
         statement_id = self._ids.get(key)
         if statement_id is not None:
             self._ids.move_to_end(key)
         return statement_id
 
     def put(self, key: StatementKey, statement_id: int) -> list[int]:
-        """Add a statement that was prepared. Returns the evicted ids, which the caller must close."""
+        """Add a prepared statement. Return the evicted ids, which the caller must close."""
         self._ids[key] = statement_id
         evicted_ids = []
         while len(self._ids) > self._max_statements:
@@ -43,5 +43,5 @@
         return evicted_ids
 
     def remove(self, key: StatementKey) -> None:
-        """Forget a statement that the server no longer knows, or that was closed."""
+        """Remove a statement that was closed or that is unknown to the server."""
         self._ids.pop(key, None)
--- a/tests/pool/test_endpoint_responses.py
+++ b/tests/pool/test_endpoint_responses.py
@@ -1,4 +1,4 @@
-"""Responses of endpoints: error codes, heartbeats, load, and the ids of prepared statements."""
+"""Tests of endpoint responses: error codes, heartbeats, load, and ids of prepared statements."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def test_only_codes_that_leave_the_data_unchanged_allow_an_immediate_retry() -> None:
-    """Danger: whatever is READ_ONLY or OVERLOADED is retried on another endpoint at once, writes included."""
+    """Danger: READ_ONLY and OVERLOADED errors are retried on another endpoint at once, including writes."""
     tables = (
         READ_ONLY_CODES,
         OVERLOADED_CODES,
@@ -31,7 +31,9 @@
         CONNECTION_CLOSED_CODES,
         SERVER_FAILURE_CODES,
     )
-    assert sum(map(len, tables)) == len(frozenset().union(*tables)), "each code has one category"
+    assert sum(map(len, tables)) == len(frozenset().union(*tables)), (
+        "each code belongs to exactly one category"
+    )
     unchanged = {
         c
         for c in range(1000, 6000)
@@ -51,7 +53,9 @@
     assert replica.epochs == ((1, 0), (2, 310))
     primary = parse_status([[0, *row[1:]] for row in rows])
     assert (primary.position_us, primary.clock_us, primary.read_only) == (800, 900, False)
-    assert parse_status([["1", "900", "7", "0", b"5"]]).position_us == 5, "numbers in text form are accepted"
+    assert parse_status([["1", "900", "7", "0", b"5"]]).position_us == 5, (
+        "numbers in text form must be accepted"
+    )
 
 
 def test_only_the_latest_epochs_are_returned() -> None:
@@ -75,7 +79,7 @@
         parse_status(rows)
 
 
-def test_load_does_not_count_its_own_query() -> None:
+def test_load_excludes_its_own_query() -> None:
     assert parse_load([["Threads_running", "5"]]) == 4.0
     assert parse_load([["Threads_running", "0"]]) == 0.0
     for rows in ([], [["a"]], [["Threads_running", "many"]]):
--- a/tests/pool/test_gtid.py
+++ b/tests/pool/test_gtid.py
@@ -1,4 +1,4 @@
-"""GTID sets against a plain model."""
+"""Model-based tests of GTID sets."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     st.booleans(),
 )
 def test_gtid_set_contains_exactly_the_transactions_in_its_text(
-    sets: dict[str, list[tuple[int, int]]], spaced: bool
+    sets: dict[str, list[tuple[int, int]]], with_whitespace: bool
 ) -> None:
-    text = (",\n" if spaced else ",").join(
+    text = (",\n" if with_whitespace else ",").join(
         f"{source}:" + ":".join(f"{a}-{a + n}" if n else str(a) for a, n in pairs)
         for source, pairs in sets.items()
     )
@@ -36,10 +36,10 @@
         assert all(a[1] + 1 < b[0] for a, b in pairwise(merged))
 
 
-def test_gtid_parse_accepts_one_source_and_rejects_the_rest() -> None:
+def test_gtid_parse_requires_exactly_one_source() -> None:
     assert Gtid.parse(f"{SOURCE_A}:7") == Gtid(SOURCE_A, 7)
     assert Gtid.parse(f"{SOURCE_A}:1-7") == Gtid(SOURCE_A, 7)
-    for bad in (
+    for invalid in (
         "",
         f"{SOURCE_A}:1,{SOURCE_B}:1",
         SOURCE_A,
@@ -50,6 +50,6 @@
         f"{SOURCE_A}:1;drop",
     ):
         with pytest.raises(InvalidGtidError):
-            Gtid.parse(bad)
+            Gtid.parse(invalid)
     with pytest.raises(InvalidGtidError):
         GtidSet.parse("x" * (2 << 20))
