--- a/juniperreel/pool/core.py
+++ b/juniperreel/pool/core.py
@@ -1,12 +1,10 @@
-"""The pool of one endpoint: which connections exist, who gets one, who waits, when another is opened.
+"""The connection pool of one endpoint: a state machine without I/O and without a clock.
 
-No I/O and no clock.
+    opening -> idle <-> leased -> closed          a lease serves one transaction and is released exactly once
 
-    opening -> idle <-> leased -> closed          a lease serves one transaction, and is released exactly once
-
-Waiters are served by tenants' shares, see `wait_queue`; openings are paced, see `open_limiter`. Idle
-connections are leased newest first, so that the rest reach their idle timeout, but one whose session state
-matches the request goes before one whose state would have to be changed.
+Waiters are served by tenant share (see `wait_queue`); openings are rate-limited (see `open_limiter`). The
+most recently used idle connection is leased first, so that the others reach their idle timeout, but one whose
+session state matches the request is preferred over one whose state would have to be changed.
 """
 
 from __future__ import annotations
@@ -32,7 +30,7 @@
 )
 from juniperreel.pool.wait_queue import FairWaitQueue
 
-# Of the maximum lifetime: proxies that started together must not reconnect together.
+# Random factor of the maximum lifetime, so that proxies started together do not reconnect together.
 LIFETIME_JITTER = (0.8, 1.0)
 
 
@@ -47,18 +45,17 @@
 
 
 class Pool(Generic[ConnectionT]):
-    """The decisions of one endpoint's pool. Every method returns the actions that are to be carried out now.
+    """Connection pool logic of one endpoint. Methods return the actions that the caller must execute.
 
-    The caller passes the time in microseconds, carries out the actions in their order, and calls `tick` at
-    `next_tick_us`. The pool owns the invariant that a connection is idle, or leased to one request, never
-    both.
+    The caller passes the time in microseconds, executes the actions in order, and calls `tick` at
+    `next_tick_us`. Invariant: a connection is either idle or leased to exactly one request.
     """
 
     def __init__(self, config: PoolConfig, random_source: random.Random) -> None:
         self.config = config
         self.draining = False
         self._random = random_source
-        self._idle: deque[PooledConnection[ConnectionT]] = deque()  # longest idle first
+        self._idle: deque[PooledConnection[ConnectionT]] = deque()  # least recently used first
         self._leased: dict[ConnectionT, PooledConnection[ConnectionT]] = {}
         self._opening = 0
         self._waiters = FairWaitQueue(config.tenant_shares)
@@ -68,41 +65,41 @@
 
     @property
     def leased(self) -> int:
-        """Connections that are leased."""
+        """Number of leased connections."""
         return len(self._leased)
 
     @property
     def idle(self) -> int:
-        """Connections that are open and not leased."""
+        """Number of idle connections."""
         return len(self._idle)
 
     @property
     def opening(self) -> int:
-        """Connections that are being opened."""
+        """Number of connections being opened."""
         return self._opening
 
     @property
     def total(self) -> int:
-        """Connections in any state."""
+        """Number of connections in any state."""
         return self.leased + self.idle + self.opening
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a connection."""
+        """Number of requests waiting for a connection."""
         return len(self._waiters)
 
     @property
     def rejected_openings(self) -> int:
-        """Connections that the endpoint rejected for having too many of them."""
+        """Number of openings that the endpoint rejected because it had too many connections."""
         return self._open_limiter.rejections
 
     @property
     def connection_limit(self) -> int:
-        """The most connections to have now; below the configured maximum after the endpoint rejected some."""
+        """The current limit on connections; below the configured maximum after the endpoint rejected some."""
         return self._open_limiter.connection_limit
 
     def next_tick_us(self, now_us: int) -> int | None:
-        """When `tick` must be called next; None if nothing is pending."""
+        """Return when `tick` must be called next; None if nothing is pending."""
         due_times = self._waiters.deadlines_us()
         for pooled in self._idle:
             idle_deadline_us = pooled.idle_since_us + self.config.idle_timeout_us
@@ -112,7 +109,7 @@
         return min(due_times, default=None)
 
     def acquire(self, now_us: int, request: AcquireRequest) -> list[PoolAction[ConnectionT]]:
-        """Ask for a connection. The grant or rejection is in this result, or in a later one of any method."""
+        """Request a connection. The grant or rejection is returned by this or a later call of any method."""
         if self.draining:
             return [AcquireRejected(request, RejectionReason.DRAINING)]
         if not self.waiting:
@@ -134,7 +131,7 @@
         return actions + self._open_more(now_us)
 
     def cancel(self, request_id: Hashable) -> list[PoolAction[ConnectionT]]:
-        """Forget a request that waits; its caller no longer wants a connection. Calls for no action."""
+        """Remove a waiting request whose caller no longer needs a connection. Requires no action."""
         self._waiters.cancel(request_id)
         return []
 
@@ -145,15 +142,15 @@
 
         Args:
             now_us: The current time.
-            lease: A lease that was granted by this pool.
-            reusable: Whether no transaction is open, and no response is outstanding, on the connection.
-            session_state: What the connection's session state is now.
+            lease: A lease granted by this pool.
+            reusable: Whether the connection has no open transaction and no outstanding response.
+            session_state: The current session state of the connection.
 
         Raises:
-            ValueError: The lease was released before.
+            ValueError: The lease was already released.
         """
         if lease.released:
-            raise ValueError("a lease that was released before")
+            raise ValueError("lease already released")
         lease.released = True
         pooled = self._leased.pop(lease.connection)
         expired = now_us >= pooled.expires_us
@@ -167,7 +164,7 @@
     def connection_opened(
         self, now_us: int, connection: ConnectionT, session_state: Hashable = None
     ) -> list[PoolAction[ConnectionT]]:
-        """An `OpenConnection` succeeded."""
+        """Record that an `OpenConnection` succeeded."""
         self._opening -= 1
         self._open_limiter.record_success()
         if self.draining:
@@ -177,12 +174,12 @@
         return self._serve_waiters(now_us)
 
     def open_failed(self, now_us: int, rejected: bool) -> list[PoolAction[ConnectionT]]:
-        """An `OpenConnection` failed.
+        """Record that an `OpenConnection` failed.
 
         Args:
             now_us: The current time.
-            rejected: The endpoint answered that it has too many connections. Otherwise it could not be
-                reached, or rejected the login.
+            rejected: Whether the endpoint responded that it has too many connections. Otherwise it was
+                unreachable, or rejected the login.
         """
         self._opening -= 1
         if rejected:
@@ -193,19 +190,19 @@
         return self._serve_waiters(now_us) if rejected else []
 
     def open_abandoned(self, now_us: int) -> list[PoolAction[ConnectionT]]:
-        """An `OpenConnection` was cancelled, and says nothing about the endpoint."""
+        """Record that an `OpenConnection` was cancelled, which carries no information about the endpoint."""
         self._opening -= 1
         return self._open_more(now_us)
 
     def connection_lost(self, now_us: int, connection: ConnectionT) -> list[PoolAction[ConnectionT]]:
-        """The endpoint closed a connection; one that is leased is dealt with when it is released."""
+        """Record that the endpoint closed a connection. A leased one is discarded when it is released."""
         pooled = next((p for p in self._idle if p.connection == connection), None)
         if pooled is not None:
             self._idle.remove(pooled)
         return self._open_more(now_us)
 
     def tick(self, now_us: int) -> list[PoolAction[ConnectionT]]:
-        """Apply what is due: time-outs of waiters and connections, and openings that the pace held back."""
+        """Process expired waiters and connections, and openings delayed by the rate limit."""
         self._open_limiter.raise_limit(now_us)
         actions: list[PoolAction[ConnectionT]] = [
             AcquireRejected(waiter.request, RejectionReason.TIMED_OUT)
@@ -213,15 +210,15 @@
         ]
         for pooled in list(self._idle):
             idle_for_us = now_us - pooled.idle_since_us
-            surplus = self.total > self.config.min_connections
-            timed_out = idle_for_us >= self.config.idle_timeout_us and surplus
+            above_minimum = self.total > self.config.min_connections
+            timed_out = idle_for_us >= self.config.idle_timeout_us and above_minimum
             if timed_out or now_us >= pooled.expires_us:
                 self._idle.remove(pooled)
                 actions.append(CloseConnection(pooled.connection))
         return actions + self._serve_waiters(now_us)
 
     def drain(self) -> list[PoolAction[ConnectionT]]:
-        """Close idle connections and reject all waiters; leased connections are closed when released."""
+        """Close idle connections and reject all waiters; leased connections are closed on release."""
         self.draining = True
         actions: list[PoolAction[ConnectionT]] = [CloseConnection(pooled.connection) for pooled in self._idle]
         self._idle.clear()
@@ -232,7 +229,7 @@
         self.draining = False
 
     def _take_idle(self, now_us: int, session_state: Hashable) -> PooledConnection[ConnectionT] | None:
-        """Remove an idle connection: the newest with this session state, else the newest of all."""
+        """Remove the most recently used idle connection with this session state, or else of any state."""
         for pooled in reversed(self._idle):
             if pooled.session_state == session_state and now_us < pooled.expires_us:
                 self._idle.remove(pooled)
@@ -254,7 +251,7 @@
         return LeaseGranted(Lease(pooled.connection, request))
 
     def _serve_waiters(self, now_us: int) -> list[PoolAction[ConnectionT]]:
-        """Grant idle connections to waiters, and open connections for the others."""
+        """Grant idle connections to waiters, and open connections for the remaining ones."""
         actions: list[PoolAction[ConnectionT]] = []
         while self.waiting and self._idle:
             waiter = self._waiters.pop(now_us)
@@ -268,7 +265,7 @@
         return actions + self._open_more(now_us)
 
     def _open_more(self, now_us: int) -> list[PoolAction[ConnectionT]]:
-        """Open one connection for each waiter beyond those being opened, as far as the limits allow."""
+        """Open as many connections as waiters and `min_connections` require, as far as the limits allow."""
         actions: list[PoolAction[ConnectionT]] = []
         if self.draining or self._open_limiter.in_backoff(now_us):
             return actions
--- a/juniperreel/pool/session_state.py
+++ b/juniperreel/pool/session_state.py
@@ -1,7 +1,7 @@
-"""What a session has changed of its connection, as a value; and the statement that applies it to another one.
+"""Session state as a value, and the statement that replays it on another connection.
 
-Only what can be replayed literally is part of the value: certain system variables, and user variables, each
-with a literal. Whatever else a statement may change on a connection keeps that connection from being reused.
+The state only contains what can be replayed exactly: certain system variables, and user variables, each set
+to a literal. A connection on which a statement changed any other state cannot be reused.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from juniperreel.pool.errors import SessionStateTooLargeError
 
-MAX_VARIABLES = 64  # of one session
-MAX_VARIABLE_BYTES = 4096  # names and values of one session together
+MAX_VARIABLES = 64  # per session
+MAX_VARIABLE_BYTES = 4096  # names and values, per session
 
-# System variables that may be set on any connection, and only change how its statements are executed.
+# System variables that may be set on any connection and only affect the execution of its statements.
 REPLAYABLE_VARIABLES = frozenset(
     [
         "sql_mode",
@@ -58,25 +58,25 @@
         "range_optimizer_max_mem_size",
     ]
 )
-# Change how a statement's text is parsed, and so what was prepared from it.
+# Variables that affect how a statement is parsed, and therefore how it was prepared.
 PARSE_VARIABLES = frozenset({"sql_mode"})
 
 
 @dataclass(frozen=True, slots=True)
 class SessionState:
-    """The variables that a session has set.
+    """The variables set by a session.
 
     Attributes:
-        variables: SQL literals by lower-case name; names of user variables include their `@`.
+        variables: SQL literals by lower-case name; names of user variables include the `@`.
     """
 
     variables: Map[str, str] = field(default_factory=Map)
 
     def set(self, name: str, literal: str) -> SessionState:
-        """The state with one variable set; its default value removes it.
+        """Return the state with a variable set. Setting its default value removes it.
 
         Raises:
-            SessionStateTooLargeError: More than `MAX_VARIABLES` or `MAX_VARIABLE_BYTES`.
+            SessionStateTooLargeError: The state exceeds `MAX_VARIABLES` or `MAX_VARIABLE_BYTES`.
         """
         name = name.lower()
         if literal.lower() == default_literal(name):
@@ -91,7 +91,7 @@
 
     @property
     def parse_context(self) -> str:
-        """The part of the state that changes how a statement's text is parsed."""
+        """The part of the state that affects how statements are parsed."""
         names = sorted(PARSE_VARIABLES & set(self.variables))
         return ";".join(f"{name}={self.variables[name]}" for name in names)
 
@@ -103,9 +103,9 @@
 
 
 def replay_statement(current: SessionState, target: SessionState) -> bytes | None:
-    """The `set` statement that takes a connection from one state to another; None if they are equal.
+    """Return the `set` statement that changes a connection between two states; None if they are equal.
 
-    It is a single statement, which the server executes completely or not at all.
+    It is a single statement, which the server executes atomically.
     """
     if current == target:
         return None
@@ -122,10 +122,10 @@
 
 
 def is_user_variable(name: str) -> bool:
-    """Whether a variable is a user variable, not a system variable."""
+    """Return whether a variable is a user variable rather than a system variable."""
     return name.startswith("@")
 
 
 def default_literal(name: str) -> str:
-    """The literal that resets a variable."""
+    """Return the literal that resets a variable."""
     return "null" if is_user_variable(name) else "default"
--- a/juniperreel/pool/wait_queue.py
+++ b/juniperreel/pool/wait_queue.py
@@ -1,8 +1,8 @@
-"""Requests that wait for a connection, in the order in which they are served. No I/O, no clock.
+"""Fair queue of requests that wait for a connection. No I/O, no clock.
 
 Tenants are served by start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996): each tenant has a virtual
-time that advances by the inverse of its share with every grant, and the tenant with the lowest is next.
-Within a tenant the higher priority weight goes first, then the earlier arrival.
+time that advances by the inverse of its share with every grant, and the tenant with the lowest one is served
+next. Within a tenant, requests are ordered by priority weight, then by arrival.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from juniperreel.pool.types import AcquireRequest
 
-MIN_SHARE = 1e-6  # a tenant with no share at all is still served, last
+MIN_SHARE = 1e-6  # a tenant with a share of 0 is still served, after all others
 DEFAULT_SHARE = 1.0
 
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A queued request. `arrival` numbers the requests in the order in which they came."""
+    """A queued request. `arrival` is a sequence number."""
 
     request: AcquireRequest
     arrival: int
@@ -27,14 +27,14 @@
 
 @dataclass(slots=True)
 class TenantQueue:
-    """One tenant's waiters and its virtual time."""
+    """The waiters of a tenant and its virtual time."""
 
     virtual_time: float = 0.0
     waiters: list[Waiter] = field(default_factory=list)
 
 
 class FairWaitQueue:
-    """The waiters of one pool. The owner enforces the bound on their number, with `evict_for`."""
+    """The waiters of a pool. The owner enforces the limit on their number, using `evict_for`."""
 
     def __init__(self, shares: tuple[float, ...]) -> None:
         self._shares = shares
@@ -47,21 +47,21 @@
         return self._length
 
     def deadlines_us(self) -> list[int]:
-        """The deadlines of all waiters, in no particular order."""
+        """Return the deadlines of all waiters, in no particular order."""
         return [waiter.deadline_us for tenant in self._tenants.values() for waiter in tenant.waiters]
 
     def add(self, request: AcquireRequest, deadline_us: int) -> None:
         """Queue a request; it expires at `deadline_us`."""
         tenant = self._tenants.setdefault(request.tenant, TenantQueue())
         if not tenant.waiters:
-            # An idle tenant does not accumulate credit for the time in which it asked for nothing.
+            # An idle tenant does not accumulate credit for the time without requests.
             tenant.virtual_time = max(tenant.virtual_time, self._virtual_time)
         self._arrivals += 1
         tenant.waiters.append(Waiter(request, self._arrivals, deadline_us))
         self._length += 1
 
     def put_back(self, waiter: Waiter) -> None:
-        """Queue a waiter again that `pop` returned; it keeps its place by its arrival."""
+        """Requeue a waiter returned by `pop`; it keeps its position by its arrival number."""
         self._tenants[waiter.request.tenant].waiters.append(waiter)
         self._length += 1
 
@@ -72,17 +72,17 @@
                 self._remove(tenant, waiter)
 
     def evict_for(self, tenant_number: int) -> Waiter | None:
-        """Remove one waiter of the tenant that exceeds its share of the queue most, to make room.
+        """Remove a waiter of the tenant that most exceeds its share of the queue, to make room.
 
-        Returns None when no tenant exceeds its share more than `tenant_number` would itself. Danger: without
-        this, one tenant that asks for ten times its share keeps the queue full, and all others are rejected.
+        Returns None if no tenant exceeds its share by more than `tenant_number` would itself. Danger: without
+        eviction, a tenant that requests ten times its share fills the queue, and all others are rejected.
         """
         queues = {number: tenant for number, tenant in self._tenants.items() if tenant.waiters}
         if not queues:
             return None
 
         def occupancy(number: int) -> float:
-            """Waiters per unit of share, counting the request that is to be added."""
+            """Return the waiters per unit of share, including the request to be added."""
             waiting = len(queues[number].waiters) if number in queues else 0
             return (waiting + (number == tenant_number)) / self._share(number)
 
@@ -95,7 +95,7 @@
         return evicted
 
     def pop(self, now_us: int) -> Waiter | None:
-        """Remove and return the waiter that is next, ignoring those past their deadline."""
+        """Remove and return the next waiter, ignoring those past their deadline."""
         candidates = [
             (tenant.virtual_time, number)
             for number, tenant in self._tenants.items()
@@ -113,14 +113,14 @@
         return waiter
 
     def charge(self, tenant_number: int) -> None:
-        """Account for one connection granted to a tenant, whether it waited or not."""
+        """Account for a connection granted to a tenant, whether or not it waited."""
         tenant = self._tenants.setdefault(tenant_number, TenantQueue())
         start = max(tenant.virtual_time, self._virtual_time)
         tenant.virtual_time = start + 1 / self._share(tenant_number)
         self._virtual_time = start
 
     def expire(self, now_us: int) -> list[Waiter]:
-        """Remove and return all waiters whose deadline has passed."""
+        """Remove and return all waiters past their deadline."""
         expired = []
         for tenant in self._tenants.values():
             overdue = [waiter for waiter in tenant.waiters if now_us >= waiter.deadline_us]
--- a/tests/pool/test_core.py
+++ b/tests/pool/test_core.py
@@ -1,4 +1,4 @@
-"""The pool against a plain model: connections are conserved, leases exclusive, waits bounded."""
+"""Model-based tests of the pool: connections are conserved, leases are exclusive, waits are bounded."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 )
 from juniperreel.pool.wait_queue import FairWaitQueue, Waiter
 
-SEC = 1_000_000
+SECOND_US = 1_000_000
 CONFIG = PoolConfig(
     max_connections=6,
     min_connections=1,
     max_waiters=8,
-    acquire_timeout_us=SEC,
-    idle_timeout_us=10 * SEC,
-    max_lifetime_us=60 * SEC,
+    acquire_timeout_us=SECOND_US,
+    idle_timeout_us=10 * SECOND_US,
+    max_lifetime_us=60 * SECOND_US,
     open_rate=1,
     open_burst=2,
     tenant_shares=(0.5, 0.3, 0.2),
@@ -49,7 +49,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Carries out the pool's actions as a caller does, and tracks what must hold on its own."""
+    """Executes the pool's actions as its caller does, and compares the pool with an independent model."""
 
     config = CONFIG
     make_pool: Callable[[PoolConfig], Pool[int]] = staticmethod(lambda config: Pool(config, random.Random(1)))
@@ -64,15 +64,15 @@
         self.leases: list[Lease[int]] = []
         self.waiting: dict[Any, int] = {}  # deadline by request id
         self.last_request = 0
-        self.opened_at: list[int] = []  # when
+        self.opened_at: list[int] = []
 
-    def do(self, actions: list[PoolAction[int]]) -> None:
+    def execute(self, actions: list[PoolAction[int]]) -> None:
         for action in actions:
             match action:
                 case LeaseGranted(lease):
-                    assert lease.connection in self.idle, "leased although it is not idle"
+                    assert lease.connection in self.idle, "leased while not idle"
                     self.idle.discard(lease.connection)
-                    assert lease.request.id in self.waiting, "granted to a request that does not wait"
+                    assert lease.request.id in self.waiting, "granted to a request that is not waiting"
                     assert self.now <= self.waiting.pop(lease.request.id), "granted after its deadline"
                     self.leases.append(lease)
                 case OpenConnection():
@@ -81,17 +81,19 @@
                 case CloseConnection(connection):
                     self.idle.discard(connection)
                 case AcquireRejected(request, reason):
-                    until = self.waiting.pop(request.id)
-                    assert reason is not RejectionReason.TIMED_OUT or self.now >= until, "rejected too early"
+                    deadline_us = self.waiting.pop(request.id)
+                    assert reason is not RejectionReason.TIMED_OUT or self.now >= deadline_us, (
+                        "rejected too early"
+                    )
 
-    @rule(step=st.integers(0, 3 * SEC))
+    @rule(step=st.integers(0, 3 * SECOND_US))
     def advance_and_tick(self, step: int) -> None:
         self.now += step
-        self.do(self.pool.tick(self.now))
+        self.execute(self.pool.tick(self.now))
 
-    @rule(step=st.integers(0, 2 * SEC))
+    @rule(step=st.integers(0, 2 * SECOND_US))
     def advance_without_tick(self, step: int) -> None:
-        """The caller is late with its tick."""
+        """Simulate a caller that calls `tick` late."""
         self.now += step
 
     @rule(tenant=st.integers(-1, 3), weight=st.sampled_from([1.0, 3.0]), state=st.sampled_from([None, "a"]))
@@ -99,27 +101,27 @@
         self.last_request += 1
         self.waiting[self.last_request] = self.now + self.config.acquire_timeout_us
         request = AcquireRequest(self.last_request, tenant, weight, session_state=state)
-        self.do(self.pool.acquire(self.now, request))
+        self.execute(self.pool.acquire(self.now, request))
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
         request_id = data.draw(st.sampled_from(sorted(self.waiting)))
         del self.waiting[request_id]
-        self.do(self.pool.cancel(request_id))
+        self.execute(self.pool.cancel(request_id))
 
     @precondition(lambda self: self.opening)
-    @rule(how=st.sampled_from(["opened", "opened", "failed", "rejected", "abandoned"]))
-    def opening_ends(self, how: str) -> None:
+    @rule(outcome=st.sampled_from(["opened", "opened", "failed", "rejected", "abandoned"]))
+    def complete_opening(self, outcome: str) -> None:
         self.opening -= 1
-        if how == "opened":
+        if outcome == "opened":
             self.last_connection += 1
             self.idle.add(self.last_connection)
-            self.do(self.pool.connection_opened(self.now, self.last_connection))
-        elif how == "abandoned":
-            self.do(self.pool.open_abandoned(self.now))
+            self.execute(self.pool.connection_opened(self.now, self.last_connection))
+        elif outcome == "abandoned":
+            self.execute(self.pool.open_abandoned(self.now))
         else:
-            self.do(self.pool.open_failed(self.now, how == "rejected"))
+            self.execute(self.pool.open_failed(self.now, outcome == "rejected"))
 
     @precondition(lambda self: self.leases)
     @rule(data=st.data(), reusable=st.booleans(), state=st.sampled_from([None, "a", "b"]))
@@ -128,8 +130,8 @@
         self.leases.remove(lease)
         if reusable:
             self.idle.add(lease.connection)
-        self.do(self.pool.release(self.now, lease, reusable, state))
-        with pytest.raises(ValueError, match="released before"):
+        self.execute(self.pool.release(self.now, lease, reusable, state))
+        with pytest.raises(ValueError, match="already released"):
             self.pool.release(self.now, lease, reusable, state)
 
     @precondition(lambda self: self.idle)
@@ -137,11 +139,11 @@
     def connection_lost(self, data: st.DataObject) -> None:
         connection = data.draw(st.sampled_from(sorted(self.idle)))
         self.idle.discard(connection)
-        self.do(self.pool.connection_lost(self.now, connection))
+        self.execute(self.pool.connection_lost(self.now, connection))
 
     @rule()
     def drain_and_resume(self) -> None:
-        self.do(self.pool.drain())
+        self.execute(self.pool.drain())
         assert not self.idle
         assert not self.waiting
         self.pool.resume()
@@ -156,13 +158,15 @@
         assert not leased or max(leased.values()) == 1, "one connection leased twice"
 
     @invariant()
-    def openings_are_paced(self) -> None:
-        recent = [t for t in self.opened_at if t > self.now - SEC]
+    def opening_rate_is_limited(self) -> None:
+        recent = [t for t in self.opened_at if t > self.now - SECOND_US]
         assert len(recent) <= self.config.open_burst + self.config.open_rate + 1
 
     @invariant()
     def no_request_waits_while_a_connection_is_idle(self) -> None:
-        assert not (self.waiting and self.idle) or any(self.now >= until for until in self.waiting.values())
+        assert not (self.waiting and self.idle) or any(
+            self.now >= deadline_us for deadline_us in self.waiting.values()
+        )
 
 
 SETTINGS = settings(max_examples=200, stateful_step_count=40, deadline=None)
@@ -170,10 +174,10 @@
 TestPoolMachine = PoolMachine.TestCase
 
 
-# Planted faults: the state machine must find each.
+# Fault injection: the state machine must detect each of these faults.
 
 
-class LeasesTwice(Pool[int]):
+class DoubleLeasePool(Pool[int]):
     def _grant(self, pooled: PooledConnection[int], request: AcquireRequest) -> LeaseGranted[int]:
         granted = super()._grant(pooled, request)
         if request.priority_weight > 1 and not self.waiting:
@@ -181,7 +185,7 @@
         return granted
 
 
-class ForgetsTimedOutWaiters(Pool[int]):
+class LostTimeoutPool(Pool[int]):
     def tick(self, now_us: int) -> list[PoolAction[int]]:
         return [
             action
@@ -190,25 +194,25 @@
         ]
 
 
-class UnpacedLimiter(OpenLimiter):
+class UnlimitedRateLimiter(OpenLimiter):
     def available_tokens(self, _now_us: int) -> float:
         return 10.0
 
 
-class OpensWithoutPace(Pool[int]):
+class UnlimitedRatePool(Pool[int]):
     def __init__(self, config: PoolConfig, random_source: random.Random) -> None:
         super().__init__(config, random_source)
-        self._open_limiter = UnpacedLimiter(
+        self._open_limiter = UnlimitedRateLimiter(
             config.max_connections, config.open_rate, config.open_burst, random_source
         )
 
 
-class KeepsLostConnections(Pool[int]):
+class StaleConnectionPool(Pool[int]):
     def connection_lost(self, _now_us: int, _connection: int) -> list[PoolAction[int]]:
         return []
 
 
-class OpensBeyondTheLimit(Pool[int]):
+class LimitExceedingPool(Pool[int]):
     @property
     def connection_limit(self) -> int:
         return super().connection_limit + 1
@@ -220,7 +224,7 @@
         return True
 
 
-class ServesExpiredWaiters(Pool[int]):
+class ExpiredWaiterPool(Pool[int]):
     def __init__(self, config: PoolConfig, random_source: random.Random) -> None:
         super().__init__(config, random_source)
         self._waiters = QueueWithoutDeadlines(config.tenant_shares)
@@ -229,29 +233,29 @@
 @pytest.mark.parametrize(
     "faulty_pool",
     [
-        LeasesTwice,
-        ForgetsTimedOutWaiters,
-        OpensWithoutPace,
-        KeepsLostConnections,
-        OpensBeyondTheLimit,
-        ServesExpiredWaiters,
+        DoubleLeasePool,
+        LostTimeoutPool,
+        UnlimitedRatePool,
+        StaleConnectionPool,
+        LimitExceedingPool,
+        ExpiredWaiterPool,
     ],
 )
-def test_state_machine_finds_a_planted_fault(faulty_pool: type[Pool[int]]) -> None:
-    class Planted(PoolMachine):
-        config = replace(CONFIG, max_connections=2) if faulty_pool is OpensBeyondTheLimit else CONFIG
+def test_state_machine_detects_an_injected_fault(faulty_pool: type[Pool[int]]) -> None:
+    class FaultyPoolMachine(PoolMachine):
+        config = replace(CONFIG, max_connections=2) if faulty_pool is LimitExceedingPool else CONFIG
         make_pool = staticmethod(lambda config: faulty_pool(config, random.Random(1)))
 
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
-            Planted,
+            FaultyPoolMachine,
             settings=settings(
                 SETTINGS, max_examples=2000, derandomize=True, database=None, phases=[Phase.generate]
             ),
         )
 
 
-# Scenarios.
+# Directed tests.
 
 ONE_CONNECTION = PoolConfig(max_connections=1, max_waiters=10_000, acquire_timeout_us=1 << 50, open_burst=100)
 
@@ -287,7 +291,9 @@
         served.append(lease.request.id)
     of_a = [n for name, n in served if name == "a"]
     assert abs(len(of_a) - 150) <= 2
-    assert of_a == [n for n in range(400) if n % 2][: len(of_a)], "priority weight first, then arrival"
+    assert of_a == [n for n in range(400) if n % 2][: len(of_a)], (
+        "ordered by priority weight, then by arrival"
+    )
     assert [n for name, n in served if name == "b"] == list(range(200 - len(of_a)))
 
 
@@ -306,7 +312,7 @@
             rejected += rejected_ids(actions)
     assert [name for name, _ in rejected].count("greedy") >= 10
     assert pool.waiting == 20
-    # Each holds about its share of the queue, and the greedy tenant's oldest are still in it.
+    # Each tenant holds about its share of the queue, and the greedy tenant's oldest requests remain in it.
     assert next(t for name, t in rejected if name == "greedy") == 19
     (granted,) = pool.release(3, lease, True)
     assert isinstance(granted, LeaseGranted)
@@ -328,10 +334,10 @@
         lease = granted.lease
         (name, _) = cast(Any, lease.request.id)
         served.append(name)
-    assert 45 <= served.count("b") <= 55, "it does not catch up for the time in which it was idle"
+    assert 45 <= served.count("b") <= 55, "an idle tenant must not accumulate credit"
 
 
-def test_connection_with_the_session_state_is_preferred_and_else_the_newest() -> None:
+def test_connection_with_matching_session_state_is_preferred_over_the_newest() -> None:
     pool, leases = pool_with_leases(PoolConfig(max_connections=4, open_burst=10), 3)
     for n, lease in enumerate(leases):
         pool.release(10 + n, lease, True, ["a", "b", "c"][n])
@@ -343,10 +349,10 @@
     assert granted.lease.connection == 2
 
 
-def test_openings_are_paced_when_a_thousand_requests_arrive_at_once() -> None:
-    """As when an endpoint has just come back."""
+def test_openings_are_rate_limited_when_a_thousand_requests_arrive_at_once() -> None:
+    """Simulates the recovery of an endpoint."""
     config = PoolConfig(
-        max_connections=500, max_waiters=2000, acquire_timeout_us=5 * SEC, open_rate=20, open_burst=5
+        max_connections=500, max_waiters=2000, acquire_timeout_us=5 * SECOND_US, open_rate=20, open_burst=5
     )
     pool: Pool[int] = Pool(config, random.Random(1))
     now = 1
@@ -356,7 +362,7 @@
         opened += sum(isinstance(a, OpenConnection) for a in pool.acquire(now, AcquireRequest(n)))
     assert opened == 5
     leases: list[Lease[int]] = []
-    while now < 2 * SEC:
+    while now < 2 * SECOND_US:
         now += 10_000
         actions = pool.tick(now)
         while pool.opening:
@@ -370,7 +376,7 @@
 
 def test_rejected_opening_lowers_the_connection_limit_which_then_rises_again() -> None:
     pool, leases = pool_with_leases(
-        PoolConfig(max_connections=10, open_burst=20, acquire_timeout_us=60 * SEC), 4
+        PoolConfig(max_connections=10, open_burst=20, acquire_timeout_us=60 * SECOND_US), 4
     )
     assert any(isinstance(a, OpenConnection) for a in pool.acquire(1, AcquireRequest("five")))
     assert pool.open_failed(2, rejected=True) == []
@@ -378,23 +384,23 @@
     assert pool.rejected_openings == 1
     now = 3
     for _ in range(3):
-        now += 5 * SEC
+        now += 5 * SECOND_US
         pool.tick(now)
     assert 5 <= pool.connection_limit <= 7
     assert granted_ids(pool.release(now, leases[0], True)) == ["five"]
 
 
-def test_waiters_are_rejected_at_once_when_the_endpoint_is_unreachable() -> None:
+def test_waiters_are_rejected_immediately_when_the_endpoint_is_unreachable() -> None:
     pool: Pool[int] = Pool(PoolConfig(max_connections=4), random.Random(1))
     first = AcquireRequest("a")
     second = AcquireRequest("b")
     pool.acquire(1, first)
     assert pool.open_failed(2, rejected=False) == [AcquireRejected(first, RejectionReason.UNREACHABLE)]
     assert pool.acquire(3, second) == [AcquireRejected(second, RejectionReason.UNREACHABLE)]
-    assert any(isinstance(a, OpenConnection) for a in pool.acquire(3 * SEC, AcquireRequest("c")))
+    assert any(isinstance(a, OpenConnection) for a in pool.acquire(3 * SECOND_US, AcquireRequest("c")))
 
 
-def test_lifetimes_of_pools_started_together_are_spread() -> None:
+def test_lifetimes_of_pools_started_together_are_jittered() -> None:
     ends = set()
     for seed in range(50):
         pool: Pool[int] = Pool(PoolConfig(max_connections=1, idle_timeout_us=1 << 50), random.Random(seed))
@@ -402,18 +408,18 @@
         (granted,) = pool.connection_opened(1, 1)
         assert isinstance(granted, LeaseGranted)
         pool.release(2, granted.lease, True)
-        due = pool.next_tick_us(2)
-        assert due is not None
-        ends.add(due // (60 * SEC))
+        due_us = pool.next_tick_us(2)
+        assert due_us is not None
+        ends.add(due_us // (60 * SECOND_US))
     assert len(ends) > 8
 
 
 def test_idle_connections_beyond_the_minimum_are_closed() -> None:
     pool, leases = pool_with_leases(
-        PoolConfig(max_connections=4, min_connections=1, idle_timeout_us=10 * SEC, open_burst=10), 3
+        PoolConfig(max_connections=4, min_connections=1, idle_timeout_us=10 * SECOND_US, open_burst=10), 3
     )
     for lease in leases:
         pool.release(2, lease, True)
-    closed = [a for a in pool.tick(11 * SEC) if isinstance(a, CloseConnection)]
+    closed = [a for a in pool.tick(11 * SECOND_US) if isinstance(a, CloseConnection)]
     assert len(closed) == 2
     assert pool.idle == 1
--- a/tests/pool/test_session_state.py
+++ b/tests/pool/test_session_state.py
@@ -1,4 +1,4 @@
-"""Session state as a value, and the statement that replays it on another connection."""
+"""Tests of session state and of the statement that replays it on another connection."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @given(states, states)
-def test_replay_statement_takes_a_connection_from_one_state_to_the_other(
+def test_replay_statement_changes_a_connection_to_the_target_state(
     current: SessionState, target: SessionState
 ) -> None:
     statement = replay_statement(current, target)
@@ -43,9 +43,9 @@
             state = state.set(match[1], match[2])
     assert state == target
     assert hash(state) == hash(target)
-    reading = classify_statement(statement or b"set @a = 1")
-    assert reading.session_command is not None
-    assert reading.session_command.assignments, "the statement reader recognizes it as a set"
+    classification = classify_statement(statement or b"set @a = 1")
+    assert classification.session_command is not None
+    assert classification.session_command.assignments, "the classifier must recognize a set statement"
 
 
 def test_set_to_the_default_removes_the_variable() -> None:
@@ -56,7 +56,7 @@
     assert INITIAL_SESSION_STATE.set("@a", "null") is INITIAL_SESSION_STATE
 
 
-def test_set_beyond_the_limits_raises() -> None:
+def test_set_exceeding_the_limits_raises() -> None:
     with pytest.raises(SessionStateTooLargeError):
         apply_sets(INITIAL_SESSION_STATE, [(f"@v{n}", "1") for n in range(MAX_VARIABLES + 1)])
     with pytest.raises(SessionStateTooLargeError):
