--- a/juniperreel/causal/__init__.py
+++ b/juniperreel/causal/__init__.py
@@ -1,4 +1,4 @@
-"""Causal tokens: what a client has seen or written, as epochs and log positions of groups."""
+"""Causal tokens: the epochs and log positions per group that a client has observed or written."""
 
 from juniperreel.causal.codec import Keyring, SigningKey, TokenError
 from juniperreel.causal.history import EpochStart, History
--- a/juniperreel/causal/codec.py
+++ b/juniperreel/causal/codec.py
@@ -1,9 +1,9 @@
-"""The encoding of a token, and its signature.
+"""Encoding and signing of causal tokens.
 
-Binary form: version byte, key id byte, floor, number of entries, then group, epoch and position of each
-(unsigned LEB128 varints; groups as the difference from the entry before), then the first 16 bytes of an
-HMAC-SHA-256 (RFC 2104, RFC 6234) over all that precedes. Text form: base64url without padding
-(RFC 4648, section 5). A token that was not signed by one of the active keys is an error, never a guess.
+Binary form: version byte, key id byte, floor, number of entries, then group, epoch and position of each entry
+(unsigned LEB128 varints; groups are delta-encoded), then the first 16 bytes of an HMAC-SHA-256 (RFC 2104,
+RFC 6234) over all preceding bytes. Text form: base64url without padding (RFC 4648, section 5). A token that
+is not signed with one of the active keys is rejected.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 
 
 class TokenError(ValueError):
-    """The bytes are not a token that this program issued. The text says why, and is fit for clients."""
+    """The data is not a token issued by this program. The message may be sent to clients."""
 
 
 class SigningKey(NamedTuple):
-    """A secret that signs tokens, and its id, which is written into them."""
+    """A secret for signing tokens, and its id, which tokens contain."""
 
     id: int
     secret: bytes
 
 
 class Keyring:
-    """Encodes tokens, signed with the first key, and decodes tokens signed with any of its keys.
+    """Encodes tokens signed with the first key, and decodes tokens signed with any of its keys.
 
-    A key is rotated in three steps: the new key is added behind the old one on every proxy, then moved to the
-    front, then the old one is removed.
+    Keys are rotated in three steps: the new key is appended after the old one on every proxy, then moved to
+    the front, then the old one is removed.
     """
 
     def __init__(self, keys: Sequence[SigningKey]) -> None:
-        """Raise ValueError unless there are one or two keys with different ids, in range and long enough."""
+        """Raise ValueError unless there are one or two keys with distinct, valid ids and secrets."""
         if not 1 <= len(keys) <= MAX_KEYS or len({key.id for key in keys}) != len(keys):
             raise ValueError("one or two keys with different ids are needed")
         for key in keys:
@@ -58,12 +58,12 @@
         self._signing_id = keys[0].id
 
     def encode(self, token: Token) -> bytes:
-        """The token's binary form, signed."""
+        """Return the signed binary form of a token."""
         body = bytearray((VERSION, self._signing_id))
         append_varint(body, token.floor)
         append_varint(body, len(token.entries))
         previous_group = 0
-        for (group, epoch), position_us in token.entries.items():  # sorted by group, as the normal form is
+        for (group, epoch), position_us in token.entries.items():  # the normal form is sorted by group
             append_varint(body, group - previous_group)
             append_varint(body, epoch)
             append_varint(body, position_us)
@@ -71,14 +71,14 @@
         return bytes(body) + self._mac(self._signing_id, bytes(body))
 
     def encode_text(self, token: Token) -> str:
-        """The token's text form, signed."""
+        """Return the signed text form of a token."""
         return base64.urlsafe_b64encode(self.encode(token)).rstrip(b"=").decode("ascii")
 
     def decode(self, data: bytes) -> Token:
-        """The token from its binary form. The signature is verified before the contents are parsed.
+        """Decode the binary form of a token. The signature is verified before the contents are parsed.
 
         Raises:
-            TokenError: It was not issued with one of the keys, or is malformed.
+            TokenError: The token was not signed with one of the keys, or is malformed.
         """
         if not data:
             raise TokenError("the token is empty")
@@ -96,10 +96,10 @@
         return parse_body(body)
 
     def decode_text(self, text: str) -> Token:
-        """The token from its text form.
+        """Decode the text form of a token.
 
         Raises:
-            TokenError: As `decode`, or the text is not base64url.
+            TokenError: As for `decode`, or the text is not base64url.
         """
         if len(text) > MAX_TEXT_LENGTH:
             raise TokenError(f"the token has {len(text)} characters; none has that many")
@@ -115,7 +115,7 @@
 
 
 class VarintReader:
-    """Reads unsigned LEB128 varints one after another."""
+    """Reads a sequence of unsigned LEB128 varints."""
 
     def __init__(self, data: bytes, offset: int) -> None:
         self._data = data
@@ -123,14 +123,14 @@
 
     @property
     def at_end(self) -> bool:
-        """Whether all bytes were read."""
+        """Whether all bytes have been read."""
         return self._offset == len(self._data)
 
     def read(self) -> int:
-        """The next number.
+        """Read the next number.
 
         Raises:
-            TokenError: The data ends inside it, or it has more than MAX_VARINT_BYTES.
+            TokenError: The number is truncated, or longer than `MAX_VARINT_BYTES`.
         """
         value = 0
         for index in range(MAX_VARINT_BYTES):
@@ -153,10 +153,10 @@
 
 
 def parse_body(body: bytes) -> Token:
-    """The token from its binary form without the signature, which was verified.
+    """Decode the binary form of a token without its signature, which was already verified.
 
     Raises:
-        TokenError: It is malformed, or a number is out of range.
+        TokenError: The body is malformed, or a number is out of range.
     """
     reader = VarintReader(body, HEADER_BYTES)
     floor = reader.read()
--- a/juniperreel/causal/token.py
+++ b/juniperreel/causal/token.py
@@ -1,13 +1,14 @@
-"""The value of a causal token, and its join.
+"""Causal tokens as values, and their join.
 
-A token maps (group, epoch) to a commit position: whoever presents it has seen, or written, everything up to
-there. Positions of several epochs of one group stand side by side, since after a failover the older one may
-name a commit that the newer history does not contain; only a `History` can tell.
+A token maps (group, epoch) to a commit position: the client that presents it has observed or written commits
+up to that position. A group may have positions in several epochs, since after a failover the older one may
+refer to a commit that the newer history does not contain; only a `History` can decide this.
 
-Tokens form a join semilattice (as vector clocks do: Fidge 1988, Mattern 1989): `join` is the entrywise
-maximum, then cut to the MAX_ENTRIES highest positions. What is cut raises `floor`, a position that every
-group must have passed. That requires more than was seen, never less, except that a floor has no epoch: a
-commit that was lost in a failover *and* was cut into the floor can no longer be detected.
+Tokens form a join semilattice, as vector clocks do (Fidge 1988, Mattern 1989): `join` is the entrywise
+maximum, truncated to the MAX_ENTRIES highest positions. Truncated entries raise `floor`, a position that
+every group must have passed. This is conservative, since it never requires less than was observed, with one
+exception: the floor has no epoch, so that a commit that was lost in a failover *and* was truncated into the
+floor can no longer be detected.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     """A causal token in normal form: at most MAX_ENTRIES entries, sorted, all above the floor.
 
     Attributes:
-        entries: Positions in microseconds, by group and epoch.
+        entries: Positions in microseconds, keyed by group and epoch.
         floor: The position in microseconds that every group must have passed, in any epoch.
     """
 
@@ -44,7 +45,7 @@
 
     @staticmethod
     def from_entries(entries: Mapping[tuple[int, int], int], floor: int = 0) -> Token:
-        """A token in normal form.
+        """Create a token in normal form.
 
         Raises:
             ValueError: A number is out of range.
@@ -67,11 +68,11 @@
 
     @staticmethod
     def for_position(group: int, epoch: int, position_us: int) -> Token:
-        """The token of a single commit."""
+        """Create the token of a single commit."""
         return Token.from_entries({(group, epoch): position_us})
 
     def join(self, *others: Token) -> Token:
-        """The least token that requires all that these require, as far as MAX_ENTRIES allows."""
+        """Return the least upper bound of the tokens, as far as MAX_ENTRIES allows."""
         joined = dict(self.entries)
         floor = self.floor
         for other in others:
@@ -81,7 +82,7 @@
         return Token.from_entries(joined, floor)
 
     def positions_in(self, group: int) -> list[EpochPosition]:
-        """What an endpoint of a group must contain, oldest epoch first, besides the `floor`."""
+        """Return the positions required of a group, by ascending epoch, in addition to the `floor`."""
         return [
             EpochPosition(epoch, position_us)
             for (entry_group, epoch), position_us in self.entries.items()
--- a/tests/causal/test_token.py
+++ b/tests/causal/test_token.py
@@ -1,4 +1,4 @@
-"""The join of tokens, their encoding, and what a history of epochs still contains."""
+"""Tests of the join and encoding of tokens, and of epoch histories."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @given(tokens, tokens)
-def test_join_requires_all_that_its_parts_require(a: Token, b: Token) -> None:
+def test_join_requires_all_that_its_operands_require(a: Token, b: Token) -> None:
     joined = a.join(b)
     assert len(joined.entries) <= MAX_ENTRIES
     for token in (a, b):
@@ -55,7 +55,7 @@
 
 
 @given(wide_tokens, st.data())
-def test_decode_of_a_changed_byte_raises(token: Token, data: st.DataObject) -> None:
+def test_decode_of_a_modified_token_raises(token: Token, data: st.DataObject) -> None:
     encoded = bytearray(KEYRING.encode(token))
     index = data.draw(st.integers(0, len(encoded) - 1))
     encoded[index] ^= data.draw(st.integers(1, 255))
@@ -64,13 +64,13 @@
 
 
 @given(st.binary(max_size=2000))
-def test_decode_of_unsigned_noise_raises(noise: bytes) -> None:
+def test_decode_of_unsigned_random_data_raises(random_data: bytes) -> None:
     with pytest.raises(TokenError):
-        KEYRING.decode(noise)
+        KEYRING.decode(random_data)
 
 
 @given(st.binary(min_size=1, max_size=60))
-def test_decode_of_signed_noise_raises_or_returns_a_valid_token(body: bytes) -> None:
+def test_decode_of_signed_random_data_raises_or_returns_a_valid_token(body: bytes) -> None:
     signed = bytes((1, 2)) + body
     try:
         token = KEYRING.decode(signed + KEYRING._mac(2, signed))
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x01", b"\x01\x02" + bytes(MAC_BYTES), bytes(1 << 20)])
-def test_decode_of_empty_short_and_huge_input_raises(data: bytes) -> None:
+def test_decode_of_empty_truncated_or_oversized_input_raises(data: bytes) -> None:
     with pytest.raises(TokenError):
         KEYRING.decode(data)
     with pytest.raises(TokenError):
@@ -89,7 +89,7 @@
         KEYRING.decode_text("ü")
 
 
-def test_tokens_stay_valid_while_keys_rotate() -> None:
+def test_tokens_remain_valid_during_key_rotation() -> None:
     token = Token.for_position(3, 1, 99)
     before = Keyring([OLD_KEY])
     both = Keyring([OLD_KEY, NEW_KEY])
@@ -116,7 +116,7 @@
         Keyring(keys)
 
 
-def test_history_does_not_contain_what_a_failover_lost() -> None:
+def test_history_excludes_commits_lost_in_a_failover() -> None:
     history = History.from_starts([(1, 0), (2, 100), (3, 250)])
     assert history.epoch == 3
     assert history.contains(3, 10**15)
@@ -125,19 +125,19 @@
     assert history.contains(1, 100)
     assert not history.contains(1, 101)
     assert not history.contains(4, 1)  # a newer epoch than this history knows
-    late = History.from_starts([(2, 100), (3, 250)])
-    assert late.contains(1, 100)
-    assert not late.contains(0, 1)
+    truncated_history = History.from_starts([(2, 100), (3, 250)])
+    assert truncated_history.contains(1, 100)
+    assert not truncated_history.contains(0, 1)
     assert not History.from_starts([]).contains(1, 1)
 
 
-def test_lost_commit_is_never_satisfied_and_stays_in_the_token() -> None:
+def test_lost_commit_stays_in_the_token_and_is_never_satisfied() -> None:
     history = History.from_starts([(1, 0), (2, 100)])
     token = Token.for_position(7, 1, 120).join(Token.for_position(7, 2, 110))
     assert history.required_position(token, 7) is None
     assert not history.satisfies(10**9, token, 7)
-    seen = Token.for_position(7, 1, 90).join(Token.for_position(7, 2, 110), Token.for_position(8, 5, 999))
-    assert history.required_position(seen, 7) == 110
-    assert history.satisfies(110, seen, 7)
-    assert not history.satisfies(109, seen, 7)
+    observed = Token.for_position(7, 1, 90).join(Token.for_position(7, 2, 110), Token.for_position(8, 5, 999))
+    assert history.required_position(observed, 7) == 110
+    assert history.satisfies(110, observed, 7)
+    assert not history.satisfies(109, observed, 7)
     assert history.required_position(Token.from_entries({}, 50), 7) == 50
