--- a/juniperreel/workers/__init__.py
+++ b/juniperreel/workers/__init__.py
@@ -1,1 +1,1 @@
-"""One edge on several cores: a parent process that accepts connections, and workers that serve them."""
+"""Multi-process edge: a parent process accepts connections, and worker processes serve them."""
--- a/juniperreel/workers/supervisor.py
+++ b/juniperreel/workers/supervisor.py
@@ -1,8 +1,8 @@
-"""What the parent process decides: which worker gets a connection, and which are started, drained or killed.
+"""Decides which worker gets a connection, and which workers are started, drained or killed. No I/O.
 
-A worker is starting, serving, then draining, until its process ends. Each belongs to a generation, that of
-the settings it was started with; a new generation's workers must serve before those of the old are drained.
-No I/O.
+A worker is starting, then serving, then draining, until its process exits. It belongs to the generation of
+the settings with which it was started. The workers of an old generation are only drained once those of the
+new one are serving.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from enum import Enum
 
 SECOND_US = 1_000_000
-BACKOFF_US = 200_000  # before a worker that ended is replaced; doubles with each that ends early
-BACKOFF_CAP_US = 10 * SECOND_US
-BACKOFF_DOUBLINGS = 10  # at most, so that the shift stays small
-BACKOFF_SPREAD = (0.5, 1.0)  # a part of the backoff, drawn between these
-STABLE_AFTER_US = 10 * SECOND_US  # one that ends before has not shown that its settings and host let it run
-HEARTBEAT_LATE_US = 1 * SECOND_US  # without a heartbeat for so long, a worker gets no new connection
-HEARTBEAT_TIMEOUT_US = 10 * SECOND_US  # and is killed and replaced
-STARTUP_TIMEOUT_US = 30 * SECOND_US  # within which a worker that starts must serve
+INITIAL_BACKOFF_US = 200_000  # before a worker is replaced after an early exit; doubles with each further one
+MAX_BACKOFF_US = 10 * SECOND_US
+MAX_BACKOFF_DOUBLINGS = 10  # bounds the shift
+BACKOFF_JITTER = (0.5, 1.0)  # random factor of the backoff
+STABLE_UPTIME_US = 10 * SECOND_US  # an earlier exit may be due to its settings or host, and causes a backoff
+HEARTBEAT_LATE_US = 1 * SECOND_US  # without a heartbeat for this long, a worker gets no new connections
+HEARTBEAT_TIMEOUT_US = 10 * SECOND_US  # without a heartbeat for this long, a worker is killed and replaced
+STARTUP_TIMEOUT_US = 30 * SECOND_US  # within which a started worker must be serving
 
 
 class Phase(Enum):
-    """The state of a worker. The values are labels of `juniperreel_workers`."""
+    """Lifecycle phase of a worker. The values are label values of `juniperreel_workers`."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """One worker process."""
+    """State of a worker process."""
 
     number: int
     slot: int
@@ -48,12 +48,12 @@
     started_us: int
     phase: Phase = Phase.STARTING
     last_heartbeat_us: int = 0
-    connections: int = 0  # as of its last heartbeat
-    assigned: int = 0  # connections passed to it since
+    connections: int = 0  # reported by the last heartbeat
+    assigned: int = 0  # connections assigned since the last heartbeat
 
     @property
     def load(self) -> int:
-        """Its connections, with those that it has not reported yet."""
+        """Number of connections, including those not reported yet."""
         return self.connections + self.assigned
 
 
@@ -61,7 +61,7 @@
 class Slot:
     """A place for one worker of the current generation."""
 
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive early exits
     start_after_us: int = 0
     worker: int | None = None
 
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Tell a worker to answer what is in flight and end."""
+    """Tell a worker to complete its requests in flight and exit."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """End a worker's process now."""
+    """Kill a worker's process."""
 
     worker: int
     reason: KillReason
@@ -94,17 +94,17 @@
 
 
 class Supervisor:
-    """All workers of one edge. Events in; each method returns the actions to be carried out now.
+    """Supervises the workers of an edge. Event methods return the actions to execute.
 
-    Invariant: each slot holds at most one worker, and a worker that was told to drain is not replaced.
+    Invariant: each slot holds at most one worker, and a draining worker is not replaced.
     """
 
     def __init__(self, count: int, seed: int) -> None:
-        """`count` workers serve at a time; `seed` is that of the random choices."""
+        """`count` is the number of workers; `seed` initializes the random choices."""
         self.workers: dict[int, Worker] = {}
         self.generation = 0
         self.stopping = False
-        self.replaced = 0  # workers that ended without having been told to
+        self.replaced = 0  # workers that exited unexpectedly
         self._slots = [Slot() for _ in range(count)]
         self._random = random.Random(seed)
         self._next_number = 0
@@ -112,18 +112,18 @@
     # State.
 
     def serving(self) -> list[Worker]:
-        """Return the workers that serve."""
+        """Return the serving workers."""
         return [worker for worker in self.workers.values() if worker.phase is Phase.SERVING]
 
     def assign_connection(self, now_us: int) -> int | None:
-        """Return the worker for a new connection: the one with the fewest, of those with a recent heartbeat.
+        """Return the worker for a new connection, or None if no worker is serving.
 
-        None if no worker serves.
+        Selects the least-loaded worker among those with a recent heartbeat.
         """
         serving = self.serving()
         candidates = [worker for worker in serving if now_us - worker.last_heartbeat_us < HEARTBEAT_LATE_US]
         if not candidates:
-            # After a stall of the whole host every heartbeat is late; some worker must take the connection.
+            # After a stall of the whole host, all heartbeats are late; any serving worker is eligible.
             candidates = serving
         if not candidates:
             return None
@@ -135,7 +135,7 @@
     # Events.
 
     def on_timer(self, now_us: int) -> list[Action]:
-        """Kill workers whose time is out, and fill empty slots. To be called every few tenths of a second."""
+        """Kill workers that timed out, and fill empty slots. Must be called every few hundred ms."""
         actions: list[Action] = []
         for worker in self.workers.values():
             reason = _kill_reason(worker, now_us)
@@ -156,7 +156,7 @@
         return Start(number, slot_index, self.generation)
 
     def on_heartbeat(self, now_us: int, number: int, connections: int) -> list[Action]:
-        """Record that a worker serves, and how many connections it has."""
+        """Record a heartbeat: the worker is serving, with this number of connections."""
         worker = self.workers.get(number)
         if worker is None:
             return []
@@ -171,7 +171,7 @@
         return self._drain_old_generations()
 
     def _drain_old_generations(self) -> list[Action]:
-        """Drain them once all workers of the current generation serve; until then both serve."""
+        """Drain old workers once the whole current generation is serving; until then, both serve."""
         serving = self.serving()
         current = [worker for worker in serving if worker.generation == self.generation]
         if len(current) != len(self._slots):
@@ -179,11 +179,11 @@
         return self._drain([worker for worker in serving if worker.generation != self.generation])
 
     def on_exit(self, now_us: int, number: int) -> list[Action]:
-        """Record that a worker's process has ended, and replace it unless it was told to end."""
+        """Record the exit of a worker's process, and replace the worker unless it was draining."""
         worker = self.workers.pop(number, None)
         if worker is not None and worker.phase is not Phase.DRAINING and not self.stopping:
             self.replaced += 1
-            # A worker of an older generation may have had a slot that no longer exists.
+            # The slot of a worker of an older generation may no longer exist.
             if worker.generation == self.generation:
                 self._release_slot(now_us, worker)
         return self.on_timer(now_us)
@@ -193,17 +193,17 @@
         if slot.worker != worker.number:
             return
         slot.worker = None
-        if now_us - worker.started_us < STABLE_AFTER_US:
+        if now_us - worker.started_us < STABLE_UPTIME_US:
             slot.failures += 1
-            backoff_us = min(BACKOFF_US << min(slot.failures, BACKOFF_DOUBLINGS), BACKOFF_CAP_US)
+            backoff_us = min(INITIAL_BACKOFF_US << min(slot.failures, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_US)
         else:
             slot.failures = 0
             backoff_us = 0
-        # Workers that end of one cause would otherwise be restarted, and fail, all at the same time.
-        slot.start_after_us = now_us + int(backoff_us * self._random.uniform(*BACKOFF_SPREAD))
+        # Jitter: workers that exit for a common reason would otherwise be restarted, and fail, together.
+        slot.start_after_us = now_us + int(backoff_us * self._random.uniform(*BACKOFF_JITTER))
 
     def reload(self, now_us: int, count: int) -> list[Action]:
-        """Start a new generation of `count` workers beside the old one, which drains once all of it serve."""
+        """Start a new generation of `count` workers; the old one drains once all of these are serving."""
         self.generation += 1
         starting = [worker for worker in self.workers.values() if worker.phase is Phase.STARTING]
         actions: list[Action] = [Kill(worker.number, KillReason.SETTINGS_OUTDATED) for worker in starting]
@@ -213,7 +213,7 @@
         return actions + self.on_timer(now_us)
 
     def stop(self) -> list[Action]:
-        """Drain all workers, and start no more."""
+        """Drain all workers, and do not start any more."""
         self.stopping = True
         return self._drain(self.serving())
 
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor's decisions by events."""
+"""Event-driven tests of the worker supervisor."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from juniperreel.workers.supervisor import (
-    BACKOFF_CAP_US,
     HEARTBEAT_LATE_US,
     HEARTBEAT_TIMEOUT_US,
+    MAX_BACKOFF_US,
     SECOND_US,
-    STABLE_AFTER_US,
+    STABLE_UPTIME_US,
     STARTUP_TIMEOUT_US,
     Action,
     Drain,
@@ -25,30 +25,30 @@
 )
 
 
-def started(actions: list[Action]) -> list[int]:
+def started_workers(actions: list[Action]) -> list[int]:
     return [action.worker for action in actions if isinstance(action, Start)]
 
 
-def make_serving(count: int = 3) -> Supervisor:
+def make_serving_supervisor(count: int = 3) -> Supervisor:
     supervisor = Supervisor(count, 1)
-    for number in started(supervisor.on_timer(0)):
+    for number in started_workers(supervisor.on_timer(0)):
         supervisor.on_heartbeat(0, number, 0)
     return supervisor
 
 
-def test_connection_goes_to_the_worker_with_the_fewest() -> None:
-    supervisor = make_serving()
+def test_connection_is_assigned_to_the_least_loaded_worker() -> None:
+    supervisor = make_serving_supervisor()
     supervisor.on_heartbeat(1, 0, 5)
     supervisor.on_heartbeat(1, 1, 2)
     supervisor.on_heartbeat(1, 2, 4)
     assert [supervisor.assign_connection(2) for _ in range(2)] == [1, 1], (
-        "connections assigned since the heartbeat count"
+        "connections assigned since the last heartbeat must count"
     )
     assert sorted(str(supervisor.assign_connection(2)) for _ in range(2)) == ["1", "2"]
 
 
-def test_worker_without_heartbeat_gets_no_connection_and_is_killed_later() -> None:
-    supervisor = make_serving()
+def test_worker_without_heartbeat_gets_no_connection_and_is_killed_after_the_timeout() -> None:
+    supervisor = make_serving_supervisor()
     now = HEARTBEAT_LATE_US + 1
     for number in (1, 2):
         supervisor.on_heartbeat(now, number, 100)
@@ -59,69 +59,74 @@
 
 
 def test_connection_after_a_stall_of_all_workers_is_assigned() -> None:
-    assert make_serving().assign_connection(5 * SECOND_US) is not None
+    assert make_serving_supervisor().assign_connection(5 * SECOND_US) is not None
 
 
-def test_connection_before_any_worker_serves_is_not_assigned() -> None:
+def test_connection_is_not_assigned_before_a_worker_is_serving() -> None:
     supervisor = Supervisor(2, 1)
     supervisor.on_timer(0)
     assert supervisor.assign_connection(0) is None
 
 
-def test_stable_worker_is_replaced_at_once_and_an_early_exit_with_backoff() -> None:
-    supervisor = make_serving(1)
-    assert started(supervisor.on_exit(STABLE_AFTER_US + 1, 0)) == [1]
-    pauses = []
-    now = STABLE_AFTER_US + 1
+def test_stable_worker_is_replaced_immediately_and_after_an_early_exit_with_backoff() -> None:
+    supervisor = make_serving_supervisor(1)
+    assert started_workers(supervisor.on_exit(STABLE_UPTIME_US + 1, 0)) == [1]
+    backoffs = []
+    now = STABLE_UPTIME_US + 1
     for number in range(1, 10):
-        assert started(supervisor.on_exit(now, number)) == []
-        due = now
-        while not started(supervisor.on_timer(due)):
-            due += 10_000
-        pauses.append(due - now)
-        now = due
-    assert all(a < 2.5 * b for a, b in pairwise(pauses))
-    assert pauses[0] < SECOND_US
-    assert BACKOFF_CAP_US / 2 <= pauses[-1] <= BACKOFF_CAP_US
+        assert started_workers(supervisor.on_exit(now, number)) == []
+        due_us = now
+        while not started_workers(supervisor.on_timer(due_us)):
+            due_us += 10_000
+        backoffs.append(due_us - now)
+        now = due_us
+    assert all(a < 2.5 * b for a, b in pairwise(backoffs))
+    assert backoffs[0] < SECOND_US
+    assert MAX_BACKOFF_US / 2 <= backoffs[-1] <= MAX_BACKOFF_US
     assert supervisor.replaced == 10
 
 
-def test_worker_that_never_serves_is_killed() -> None:
+def test_worker_that_is_not_serving_in_time_is_killed() -> None:
     supervisor = Supervisor(1, 1)
     supervisor.on_timer(0)
     assert supervisor.on_timer(STARTUP_TIMEOUT_US + 1) == [Kill(0, KillReason.STARTUP_TIMED_OUT)]
 
 
-def test_reload_drains_the_old_generation_once_all_of_the_new_serve() -> None:
-    supervisor = make_serving(2)
-    new = started(supervisor.reload(SECOND_US, 3))
+def test_reload_drains_the_old_generation_once_the_new_one_is_serving() -> None:
+    supervisor = make_serving_supervisor(2)
+    new = started_workers(supervisor.reload(SECOND_US, 3))
     assert len(new) == 3
     assert supervisor.on_heartbeat(2 * SECOND_US, new[0], 0) == []
     assert supervisor.on_heartbeat(2 * SECOND_US, new[1], 0) == []
     assert supervisor.on_heartbeat(2 * SECOND_US, new[2], 0) == [Drain(0), Drain(1)]
     assert {w.number for w in supervisor.serving()} == set(new)
-    assert started(supervisor.on_exit(3 * SECOND_US, 0)) == [], "it was told to drain"
+    assert started_workers(supervisor.on_exit(3 * SECOND_US, 0)) == [], (
+        "a draining worker must not be replaced"
+    )
     assert supervisor.replaced == 0
 
 
 def test_exit_of_an_old_worker_whose_slot_no_longer_exists_is_counted() -> None:
-    """Found by random orders of events: the parent process crashed on it, and ended all its workers."""
-    supervisor = make_serving(2)
-    (new,) = started(supervisor.reload(SECOND_US, 1))
+    """Guards against a crash of the parent process, which stops all its workers.
+
+    It occurred when a worker exited whose slot a reload to fewer workers had removed.
+    """
+    supervisor = make_serving_supervisor(2)
+    (new,) = started_workers(supervisor.reload(SECOND_US, 1))
     assert supervisor.on_exit(SECOND_US, 1) == []
     assert supervisor.replaced == 1
     assert supervisor.on_heartbeat(2 * SECOND_US, new, 0) == [Drain(0)]
 
 
 def test_stop_drains_all_workers_and_starts_none() -> None:
-    supervisor = make_serving(2)
+    supervisor = make_serving_supervisor(2)
     assert supervisor.stop() == [Drain(0), Drain(1)]
     assert supervisor.on_exit(SECOND_US, 0) == []
     assert supervisor.on_timer(20 * SECOND_US) == []
 
 
 class SupervisorMachine(RuleBasedStateMachine):
-    """Any order of events: slots are filled once, none is lost, workers told to drain are not replaced."""
+    """Random event sequences: slots are neither filled twice nor lost, draining workers are not replaced."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -131,7 +136,7 @@
         self.drained: set[int] = set()
         self.count = 3
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Start(number, _, generation):
@@ -145,34 +150,34 @@
                 case Kill(number, _):
                     assert number in self.alive
 
-    @rule(span=st.integers(1, 20 * SECOND_US))
-    def advance(self, span: int) -> None:
-        self.now_us += span
-        self.carry_out(self.supervisor.on_timer(self.now_us))
+    @rule(step_us=st.integers(1, 20 * SECOND_US))
+    def advance(self, step_us: int) -> None:
+        self.now_us += step_us
+        self.execute(self.supervisor.on_timer(self.now_us))
 
     @precondition(lambda self: self.alive)
-    @rule(which=st.integers(0, 100), connections=st.integers(0, 50))
-    def send_heartbeat(self, which: int, connections: int) -> None:
-        number = sorted(self.alive)[which % len(self.alive)]
-        self.carry_out(self.supervisor.on_heartbeat(self.now_us, number, connections))
+    @rule(index=st.integers(0, 100), connections=st.integers(0, 50))
+    def send_heartbeat(self, index: int, connections: int) -> None:
+        number = sorted(self.alive)[index % len(self.alive)]
+        self.execute(self.supervisor.on_heartbeat(self.now_us, number, connections))
 
     @precondition(lambda self: self.alive)
-    @rule(which=st.integers(0, 100))
-    def exit(self, which: int) -> None:
-        number = sorted(self.alive)[which % len(self.alive)]
+    @rule(index=st.integers(0, 100))
+    def exit(self, index: int) -> None:
+        number = sorted(self.alive)[index % len(self.alive)]
         self.alive.discard(number)
-        self.carry_out(self.supervisor.on_exit(self.now_us, number))
+        self.execute(self.supervisor.on_exit(self.now_us, number))
 
     @precondition(lambda self: not self.supervisor.stopping)
     @rule(count=st.integers(1, 4))
     def reload(self, count: int) -> None:
         self.count = count
-        self.carry_out(self.supervisor.reload(self.now_us, count))
+        self.execute(self.supervisor.reload(self.now_us, count))
 
     @rule()
     def stop(self) -> None:
         if not self.supervisor.stopping:
-            self.carry_out(self.supervisor.stop())
+            self.execute(self.supervisor.stop())
 
     @rule()
     def assign(self) -> None:
