--- a/juniperreel/pool/core.py
+++ b/juniperreel/pool/core.py
@@ -189,7 +189,7 @@
             return self._reject_waiters(RejectionReason.UNREACHABLE)
         return self._serve_waiters(now_us) if rejected else []
 
-    def open_abandoned(self, now_us: int) -> list[PoolAction[ConnectionT]]:
+    def open_cancelled(self, now_us: int) -> list[PoolAction[ConnectionT]]:
         """Record that an `OpenConnection` was cancelled, which carries no information about the endpoint."""
         self._opening -= 1
         return self._open_more(now_us)
--- a/juniperreel/pool/types.py
+++ b/juniperreel/pool/types.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """Open a connection, then call `connection_opened`, `open_failed` or `open_abandoned`."""
+    """Open a connection, then call `connection_opened`, `open_failed` or `open_cancelled`."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperreel/proxy/mysql_pool.py
+++ b/juniperreel/proxy/mysql_pool.py
@@ -213,7 +213,7 @@
             self._apply(self.core.open_failed(self._clock.now_us(), is_busy))
             return
         except BaseException:
-            self.core.open_abandoned(self._clock.now_us())
+            self.core.open_cancelled(self._clock.now_us())
             raise
         self._nursery.start_soon(self._read_until_closed, backend)
         self._apply(self.core.connection_opened(self._clock.now_us(), backend, backend.session_state))
--- a/tests/pool/test_core.py
+++ b/tests/pool/test_core.py
@@ -111,15 +111,15 @@
         self.execute(self.pool.cancel(request_id))
 
     @precondition(lambda self: self.opening)
-    @rule(outcome=st.sampled_from(["opened", "opened", "failed", "rejected", "abandoned"]))
+    @rule(outcome=st.sampled_from(["opened", "opened", "failed", "rejected", "cancelled"]))
     def complete_opening(self, outcome: str) -> None:
         self.opening -= 1
         if outcome == "opened":
             self.last_connection += 1
             self.idle.add(self.last_connection)
             self.execute(self.pool.connection_opened(self.now, self.last_connection))
-        elif outcome == "abandoned":
-            self.execute(self.pool.open_abandoned(self.now))
+        elif outcome == "cancelled":
+            self.execute(self.pool.open_cancelled(self.now))
         else:
             self.execute(self.pool.open_failed(self.now, outcome == "rejected"))
 
