--- a/juniperreel/cli/worker.py
+++ b/juniperreel/cli/worker.py
@@ -24,7 +24,7 @@
 from juniperreel.settings.edge import parse_edge
 from juniperreel.settings.values import Address
 from juniperreel.telemetry.log import make_log
-from juniperreel.workers.parent import DRAIN, GRPC, MYSQL, WorkerStatus, ignore_interrupts
+from juniperreel.workers.parent import DRAIN, GRPC, MYSQL, WorkerStatus, ignore_sigint
 
 SERVING_EVENT = "worker serving"
 REPORT_INTERVAL_S = 0.1
@@ -134,7 +134,7 @@
 def main() -> None:
     """The worker's entry point; ends with BAD_SETTINGS_STATUS where the settings cannot be used."""
     arguments = WorkerArguments.parse(sys.argv[1:])
-    ignore_interrupts()
+    ignore_sigint()
     with os.fdopen(arguments.settings_descriptor, "rb") as source:
         text = source.read()
     try:
--- a/juniperreel/cli/workers.py
+++ b/juniperreel/cli/workers.py
@@ -17,7 +17,7 @@
 from juniperreel.settings import EdgeSettings, SettingsError
 from juniperreel.settings.edge import parse_edge
 from juniperreel.telemetry.log import make_log
-from juniperreel.workers.parent import GRPC, MYSQL, GenerationPlan, Parent
+from juniperreel.workers.parent import GRPC, MYSQL, GenerationConfig, Parent
 
 METRICS_READS = 3
 UNREADABLE_METRICS = b"# the workers' metrics could not be read\n"
@@ -84,8 +84,8 @@
         self._log.info("shutdown complete", workers=remaining)
         return WORKERS_REMAINING_STATUS if remaining else 0
 
-    def _plan(self, settings: EdgeSettings, text: bytes) -> GenerationPlan:
-        return GenerationPlan(text, settings.workers, self._worker_command, settings.shutdown_timeout_us)
+    def _plan(self, settings: EdgeSettings, text: bytes) -> GenerationConfig:
+        return GenerationConfig(text, settings.workers, self._worker_command, settings.shutdown_timeout_us)
 
     def _worker_command(self, handover: int, source: int, slot: int) -> list[str]:
         arguments = (handover, source, self._file, slot, self._ports.grpc, self._ports.mysql)
--- a/juniperreel/workers/parent.py
+++ b/juniperreel/workers/parent.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GenerationPlan:
+class GenerationConfig:
     """Configuration of a generation of workers.
 
     `command` returns the command line of a worker, given the descriptors of its socket and of the settings'
@@ -67,7 +67,7 @@
     Cancelling `run` kills the workers.
     """
 
-    def __init__(self, plan: GenerationPlan, clock: Clock, log: Any, seed: int, metrics: Path) -> None:
+    def __init__(self, plan: GenerationConfig, clock: Clock, log: Any, seed: int, metrics: Path) -> None:
         """`metrics` is the directory to which workers write their metrics."""
         self.plan = plan
         self.supervisor = Supervisor(plan.workers, seed)
@@ -128,7 +128,7 @@
             listener.close()
         self._execute(self.supervisor.stop())
 
-    def reload(self, plan: GenerationPlan) -> None:
+    def reload(self, plan: GenerationConfig) -> None:
         """Start workers with new settings, which must be valid; the old ones drain once these are serving."""
         self.plan = plan
         self._plans[self.supervisor.generation + 1] = plan
@@ -161,7 +161,7 @@
             await child.process.wait()
         _kill_process(child)
 
-    async def _run_worker(self, number: int, slot: int, plan: GenerationPlan) -> None:
+    async def _run_worker(self, number: int, slot: int, plan: GenerationConfig) -> None:
         """Start a worker's process and wait for its exit."""
         parent_socket, worker_socket = create_socket_pair()
         channel = SocketPassing(parent_socket)
@@ -227,7 +227,7 @@
         return counts
 
 
-def ignore_interrupts() -> None:
+def ignore_sigint() -> None:
     """Ignore SIGINT in a worker: Ctrl-C signals the whole process group, and the parent handles it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
