--- a/juniperreel/causal/__init__.py
+++ b/juniperreel/causal/__init__.py
@@ -2,10 +2,10 @@
 
 from juniperreel.causal.codec import Keyring, SigningKey, TokenError
 from juniperreel.causal.history import EpochStart, History
-from juniperreel.causal.token import EMPTY, MAX_ENTRIES, EpochPosition, Token
+from juniperreel.causal.token import EMPTY_TOKEN, MAX_ENTRIES, EpochPosition, Token
 
 __all__ = [
-    "EMPTY",
+    "EMPTY_TOKEN",
     "MAX_ENTRIES",
     "EpochPosition",
     "EpochStart",
--- a/juniperreel/causal/token.py
+++ b/juniperreel/causal/token.py
@@ -93,4 +93,4 @@
         return bool(self.entries) or self.floor > 0
 
 
-EMPTY = Token()
+EMPTY_TOKEN = Token()
--- a/juniperreel/frontends/grpc_request.py
+++ b/juniperreel/frontends/grpc_request.py
@@ -5,7 +5,7 @@
 import xxhash
 from google.protobuf.message import DecodeError
 
-from juniperreel.causal import EMPTY, Keyring, Token, TokenError
+from juniperreel.causal import EMPTY_TOKEN, Keyring, Token, TokenError
 from juniperreel.frontends.grpc_status import invalid_argument
 from juniperreel.frontends.mysql.transaction_scope import CONNECTION_INDEPENDENT
 from juniperreel.proto.records.v1 import records_pb2
@@ -105,7 +105,7 @@
         header_tokens = call.all(TOKEN_HEADER)
         if len(header_tokens) > MAX_TOKENS:
             raise invalid_argument(TOKEN_HEADER, f"more than {MAX_TOKENS} tokens")
-        token = EMPTY
+        token = EMPTY_TOKEN
         if message_token:
             token = self._decode_token("causal_token", message_token)
         for value in header_tokens:
--- a/juniperreel/frontends/mysql/client_session.py
+++ b/juniperreel/frontends/mysql/client_session.py
@@ -5,7 +5,7 @@
 import secrets
 from collections.abc import Mapping, Sequence
 
-from juniperreel.causal import EMPTY, Keyring, Token, TokenError
+from juniperreel.causal import EMPTY_TOKEN, Keyring, Token, TokenError
 from juniperreel.frontends.mysql.errors import INVALID_TOKEN, NOT_SUPPORTED, MysqlError
 from juniperreel.mysql.replies import gtid_track
 from juniperreel.mysql.values import Value
@@ -29,11 +29,11 @@
         self._keyring = keyring
         self.user = ""
         self.schema = ""
-        self.token: Token = EMPTY
+        self.token: Token = EMPTY_TOKEN
         self.parse_mode = LexerMode()
         self.variables = INITIAL_SESSION_STATE
         self.name = f"mysql-{secrets.token_hex(NAME_BYTES)}"
-        self._reported_token: Token = EMPTY
+        self._reported_token: Token = EMPTY_TOKEN
         self._requests = 0
 
     def reset(self) -> None:
--- a/juniperreel/proxy/requests.py
+++ b/juniperreel/proxy/requests.py
@@ -9,7 +9,7 @@
 
 from google.protobuf.message import Message
 
-from juniperreel.causal import EMPTY, Token
+from juniperreel.causal import EMPTY_TOKEN, Token
 from juniperreel.pool.result import Result, Statement
 from juniperreel.pool.session_state import INITIAL_SESSION_STATE, SessionState
 
@@ -65,7 +65,7 @@
     parameters: Sequence[Any] = ()
     session: str | None = None
     idempotency_key: str = ""
-    token: Token = EMPTY
+    token: Token = EMPTY_TOKEN
     is_retry: bool = False
     received_us: int = 0  # when its bytes could first have been read; 0 where that is not known
     id: str = ""
--- a/juniperreel/proxy/transactions.py
+++ b/juniperreel/proxy/transactions.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from juniperreel.causal import EMPTY, Token
+from juniperreel.causal import EMPTY_TOKEN, Token
 from juniperreel.mysql.replies import Err
 from juniperreel.mysql.values import Value
 from juniperreel.net import Clock
@@ -155,7 +155,7 @@
         self._end(reusable=True)
         if isinstance(answer, Err):
             raise StatementError(answer)
-        return TransactionResult(answer, EMPTY)
+        return TransactionResult(answer, EMPTY_TOKEN)
 
     async def _commit(self, statement: Statement) -> TransactionResult:
         """Commit between two status queries, which show in whose epoch the commit lies."""
--- a/tests/causal/test_token.py
+++ b/tests/causal/test_token.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from juniperreel.causal import EMPTY, MAX_ENTRIES, History, Keyring, SigningKey, Token, TokenError
+from juniperreel.causal import EMPTY_TOKEN, MAX_ENTRIES, History, Keyring, SigningKey, Token, TokenError
 from juniperreel.causal.codec import MAC_BYTES, MAX_BYTES
 from juniperreel.causal.token import MAX_EPOCH, MAX_GROUP, MAX_POSITION
 
@@ -33,7 +33,7 @@
     assert a.join(b) == b.join(a)
     assert a.join(a) == a
     assert a.join(b).join(c) == a.join(b.join(c)) == a.join(b, c)
-    assert a.join(EMPTY) == a
+    assert a.join(EMPTY_TOKEN) == a
 
 
 @given(tokens, tokens)
--- a/tests/proxy/test_positions.py
+++ b/tests/proxy/test_positions.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from juniperreel.causal import EMPTY, History, Token
+from juniperreel.causal import EMPTY_TOKEN, History, Token
 from juniperreel.proxy.positions import (
     NEVER_REACHED_US,
     EpochPosition,
@@ -73,7 +73,7 @@
     positions.record_status(0, ReplicationStatus(True, 200, History.from_starts([(1, 0), (2, 100)])))
     assert positions.session_age(1000, 0, Token.for_position(0, 1, 101)) == 1000 - (NEVER_REACHED_US - SKEW)
     assert positions.session_age(1000, 0, Token.for_position(0, 1, 100)) == 1000 - (100 - SKEW)
-    assert positions.session_age(1000, 0, EMPTY) is None
+    assert positions.session_age(1000, 0, EMPTY_TOKEN) is None
     assert positions.session_age(1000, 1, Token.for_position(0, 1, 101)) is None
 
 
@@ -87,7 +87,7 @@
 
 
 def test_bounded_read_requires_a_position_with_the_skew_on_the_safe_side() -> None:
-    required = PositionTracker(SKEW).required_position(1000, 0, EMPTY, 300)
+    required = PositionTracker(SKEW).required_position(1000, 0, EMPTY_TOKEN, 300)
     assert required == RequiredPosition((), 0, 730)
     history = History.from_starts([(1, 0)])
     assert required.is_met_by(ReplicationStatus(False, 730, history))
