--- a/juniperreel/admission/concurrency.py
+++ b/juniperreel/admission/concurrency.py
@@ -86,7 +86,7 @@
         self._observe(Observation(now_us, DROPPED_LATENCY_RATIO, waited_us, in_flight, in_flight_at_start))
 
     def on_idle(self) -> None:
-        """Reset the observations after a period without requests in flight."""
+        """Restart from the restart limit, without observations, after a period without requests in flight."""
         self.value = max(self.value, self.restart_limit)
         self.latency_ratio = 0.0
         self._in_slow_start = True
--- a/juniperreel/workers/parent.py
+++ b/juniperreel/workers/parent.py
@@ -56,7 +56,7 @@
     """
 
     settings_text: bytes
-    workers: int
+    worker_count: int
     command: Callable[[int, int, int], list[str]]
     shutdown_timeout_us: int
 
@@ -67,16 +67,16 @@
     Cancelling `run` kills the workers.
     """
 
-    def __init__(self, plan: GenerationConfig, clock: Clock, log: Any, seed: int, metrics: Path) -> None:
+    def __init__(self, config: GenerationConfig, clock: Clock, log: Any, seed: int, metrics: Path) -> None:
         """`metrics` is the directory to which workers write their metrics."""
-        self.plan = plan
-        self.supervisor = Supervisor(plan.workers, seed)
+        self.config = config
+        self.supervisor = Supervisor(config.worker_count, seed)
         self.children: dict[int, WorkerProcess] = {}
         self.ready = trio.Event()  # set when all workers of the first generation are serving
-        self._plans = {0: plan}  # by generation
+        self._configs = {0: config}  # by generation
         self._clock = clock
         self._log = log
-        self._metrics = metrics
+        self._metrics_directory = metrics
         self._nursery: trio.Nursery | None = None
         self._listeners: list[TcpListener] = []
         self._all_exited = trio.Event()
@@ -128,11 +128,11 @@
             listener.close()
         self._execute(self.supervisor.stop())
 
-    def reload(self, plan: GenerationConfig) -> None:
+    def reload(self, config: GenerationConfig) -> None:
         """Start workers with new settings, which must be valid; the old ones drain once these are serving."""
-        self.plan = plan
-        self._plans[self.supervisor.generation + 1] = plan
-        self._execute(self.supervisor.reload(self._clock.now_us(), plan.workers))
+        self.config = config
+        self._configs[self.supervisor.generation + 1] = config
+        self._execute(self.supervisor.reload(self._clock.now_us(), config.worker_count))
 
     # Execution of supervisor actions.
 
@@ -141,12 +141,12 @@
         for action in actions:
             match action:
                 case Start(number, slot, generation):
-                    self._nursery.start_soon(self._run_worker, number, slot, self._plans[generation])
+                    self._nursery.start_soon(self._run_worker, number, slot, self._configs[generation])
                 case Drain(number):
                     child = self.children.get(number)
                     if child is not None:
                         child.drain_requested = True
-                        self._nursery.start_soon(self._drain, child, self.plan.shutdown_timeout_us)
+                        self._nursery.start_soon(self._drain, child, self.config.shutdown_timeout_us)
                 case Kill(number, reason):
                     self._log.error("worker killed", worker=number, reason=reason.value)
                     child = self.children.get(number)
@@ -161,13 +161,13 @@
             await child.process.wait()
         _kill_process(child)
 
-    async def _run_worker(self, number: int, slot: int, plan: GenerationConfig) -> None:
+    async def _run_worker(self, number: int, slot: int, config: GenerationConfig) -> None:
         """Start a worker's process and wait for its exit."""
         parent_socket, worker_socket = create_socket_pair()
         channel = SocketPassing(parent_socket)
-        settings_fd = _create_settings_file(plan.settings_text)
-        command = plan.command(worker_socket.fileno(), settings_fd, slot)
-        environment = os.environ | {"PROMETHEUS_MULTIPROC_DIR": str(self._metrics)}
+        settings_fd = _create_settings_file(config.settings_text)
+        command = config.command(worker_socket.fileno(), settings_fd, slot)
+        environment = os.environ | {"PROMETHEUS_MULTIPROC_DIR": str(self._metrics_directory)}
         try:
             process = await trio.lowlevel.open_process(
                 command, pass_fds=(worker_socket.fileno(), settings_fd), env=environment, stdin=None
@@ -194,7 +194,7 @@
         from prometheus_client import multiprocess
 
         del self.children[number]
-        multiprocess.mark_process_dead(child.process.pid, str(self._metrics))  # type: ignore[no-untyped-call]
+        multiprocess.mark_process_dead(child.process.pid, str(self._metrics_directory))  # type: ignore[no-untyped-call]
         if not child.drain_requested:
             status = child.process.returncode
             self._log.error("worker exited unexpectedly", worker=number, status=status, pid=child.process.pid)
@@ -216,7 +216,7 @@
             if status.serving:
                 now_us = self._clock.now_us()
                 self._execute(self.supervisor.on_heartbeat(now_us, number, status.connections))
-            if not self.ready.is_set() and len(self.supervisor.serving()) >= self.plan.workers:
+            if not self.ready.is_set() and len(self.supervisor.serving()) >= self.config.worker_count:
                 self.ready.set()
 
     def counts(self) -> dict[str, int]:
--- a/juniperreel/workers/supervisor.py
+++ b/juniperreel/workers/supervisor.py
@@ -14,7 +14,7 @@
 SECOND_US = 1_000_000
 INITIAL_BACKOFF_US = 200_000  # before a worker is replaced after an early exit; doubles with each further one
 MAX_BACKOFF_US = 10 * SECOND_US
-MAX_BACKOFF_DOUBLINGS = 10  # bounds the shift
+MAX_BACKOFF_DOUBLINGS = 10  # bounds the shift that computes the backoff
 BACKOFF_JITTER = (0.5, 1.0)  # random factor of the backoff
 STABLE_UPTIME_US = 10 * SECOND_US  # an earlier exit may be due to its settings or host, and causes a backoff
 HEARTBEAT_LATE_US = 1 * SECOND_US  # without a heartbeat for this long, a worker gets no new connections
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -44,7 +44,7 @@
 
 
 def test_slow_responses_to_single_requests_keep_the_initial_limit() -> None:
-    """Guards against a limit that falls to its minimum although one request at a time was in flight."""
+    """Guards against a limit that falls to its minimum while single requests are slow."""
     limit = ConcurrencyLimit()
     for second in range(1, 10):
         limit.on_start(1)
--- a/tests/admission/test_model.py
+++ b/tests/admission/test_model.py
@@ -128,7 +128,7 @@
 
 
 def test_alternative_limits_fall_short_of_the_capacity() -> None:
-    """Verifies docs/design/admission.md: each alternative stays below the goodput of the limit in use."""
+    """Verifies docs/design/admission.md: no alternative reaches the goodput of the limit in use."""
     falls_short = {}
     for name, limit in ALTERNATIVES.items():
         model = make_model(make_limit=limit)
