--- a/juniperreel/proxy/transactions.py
+++ b/juniperreel/proxy/transactions.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from juniperreel.causal import EMPTY, Token
+from juniperreel.causal import EMPTY_TOKEN, Token
 from juniperreel.mysql.replies import Err
 from juniperreel.mysql.values import Value
 from juniperreel.net import Clock
@@ -155,7 +155,7 @@
         self._end(reusable=True)
         if isinstance(reply, Err):
             raise StatementError(reply)
-        return TransactionResult(reply, EMPTY)
+        return TransactionResult(reply, EMPTY_TOKEN)
 
     async def _commit(self, statement: Statement) -> TransactionResult:
         """Commit between two status queries, which show the epoch of the commit."""
