--- a/juniperreel/verification/__init__.py
+++ b/juniperreel/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Records of what crossed the sockets, and checkers that judge the program from them alone."""
+"""Records of socket traffic, and checkers that verify the program from these records alone."""
--- a/juniperreel/verification/draining.py
+++ b/juniperreel/verification/draining.py
@@ -1,4 +1,4 @@
-"""Rule 3: no new work for an endpoint once the grace after its draining notice is over."""
+"""Rule 3: no new work for a draining endpoint after the drain grace has expired."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_draining(history: History) -> list[Violation]:
-    """Find attempts and statements sent to an endpoint after the grace, counted from its edge's notice."""
+    """Find attempts and statements sent after the drain grace, counted from the notification of the edge."""
     found: list[Violation] = []
     grace_us = history.limits.drain_grace_us if history.limits else 0
     batches: list[Sequence[AttemptReceived | StatementReceived]] = [
@@ -32,7 +32,7 @@
 
 
 def _not_ready_since(listings: list[EndpointListed], at: int) -> int | None:
-    """When the edge was notified that the endpoint is not ready; None if it was ready at that time."""
+    """When the edge was notified that the endpoint is not ready; None if its last update says ready."""
     seen = bisect_right([listing.at for listing in listings], at)
     since: int | None = None
     for listing in listings[:seen]:
--- a/juniperreel/verification/effects.py
+++ b/juniperreel/verification/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect twice, no two attempts of an edge at once, retries only as the class allows."""
+"""Rule 2: no duplicate effects, no concurrent attempts of a request, retries only as its class allows."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def check_effects(history: History) -> list[Violation]:
-    """Find effects that happened twice, and attempts that could have caused one."""
+    """Find duplicate effects, and attempts that could have caused them."""
     found = list(_repeated_effects(history))
     max_attempts = history.limits.max_attempts if history.limits else UNLIMITED_ATTEMPTS
     for request_id, received in history.attempts.items():
@@ -40,7 +40,7 @@
 
 
 def _by_edge_request(received: list[AttemptReceived]) -> list[list[AttemptReceived]]:
-    """The attempts of each request of an edge, in order of time."""
+    """The attempts of each edge request, ordered by time."""
     by_request: dict[str, list[AttemptReceived]] = defaultdict(list)
     for attempt in received:
         by_request[attempt.edge_request_id].append(attempt)
@@ -72,7 +72,7 @@
 
 
 def _endpoint_stopped_between(history: History, before: AttemptReceived, after: AttemptReceived) -> bool:
-    """Whether the first attempt ended with its endpoint's process, which then records no end of it."""
+    """Whether the endpoint of the first attempt stopped, in which case it recorded no end of the attempt."""
     latest = after.at + CROSS_SOCKET_TOLERANCE_US
     return any(before.at <= stop.at <= latest for stop in history.stops[before.endpoint])
 
@@ -101,7 +101,8 @@
 ) -> Iterator[Violation]:
     """Rejections of non-idempotent requests that took effect.
 
-    A rejection says that a retry does no harm; without idempotency keys it must mean "not executed".
+    A rejection tells the client that a retry is safe. For a class without idempotency keys it must therefore
+    mean "not executed".
     """
     request_class = history.classes.get(attempts[0].class_name)
     if request_class is None or request_class.idempotency != NON_IDEMPOTENT:
--- a/juniperreel/verification/errors.py
+++ b/juniperreel/verification/errors.py
@@ -20,4 +20,4 @@
 
 
 class SafetyViolationError(VerificationError):
-    """A safety property of Raft does not hold; the message says which one, and where."""
+    """A safety property of Raft is violated; the message says which one, and where."""
--- a/juniperreel/verification/executions.py
+++ b/juniperreel/verification/executions.py
@@ -1,7 +1,7 @@
-"""Whether each statement was executed with its own text, values and session variables.
+"""Checks that each statement was executed with its own text, values and session variables.
 
-What endpoints report as executed is compared with what clients intended, by serial number. Judges records
-alone.
+Statements that endpoints recorded as executed are compared, by serial number, with those that clients sent.
+Only records are used.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 MAX_QUOTED_CHARACTERS = 80
 
-# MySQL's "unknown prepared statement" and "needs to be re-prepared": clients must never see them of
+# MySQL's "unknown prepared statement" and "needs to be re-prepared": clients must never receive these for
 # statements that they prepared.
 FORBIDDEN_ERRORS = ("1243", "1615")
 
 
 @dataclass(slots=True)
 class ExecutionCounts:
-    """How many statements the verdict rests on."""
+    """The numbers of statements, texts and connections that were checked."""
 
     intended: int = 0
     served: int = 0
--- a/juniperreel/verification/history.py
+++ b/juniperreel/verification/history.py
@@ -27,8 +27,8 @@
     StatementReceived,
 )
 
-# Between an event seen on one socket and its consequence on another: two sockets and two processes share no
-# finer order than that.
+# Tolerance when an event on one socket is compared with its consequence on another: events that different
+# processes record on different sockets cannot be ordered more precisely.
 CROSS_SOCKET_TOLERANCE_US = 60_000
 
 NEVER_US = 1 << 62
@@ -55,14 +55,14 @@
 
 
 class EdgeListing(NamedTuple):
-    """Identifies what one edge was notified of about one endpoint."""
+    """Identifies the readiness updates about one endpoint that one edge received."""
 
     edge: str
     endpoint: str
 
 
 class Outage(NamedTuple):
-    """A span in which an edge was down or suspended, in microseconds."""
+    """An interval in which an edge was down or suspended, in microseconds."""
 
     start: int
     end: int
@@ -91,7 +91,7 @@
 
     @staticmethod
     def of(records: Iterable[Record]) -> History:
-        """Index records, which must come in the order in which each process wrote them."""
+        """Index records. The records of each process must be in the order in which it wrote them."""
         history = History()
         for record in records:
             history.end = max(history.end, record.at)
@@ -145,26 +145,26 @@
                 self.outages[record.edge].append(Outage(record.at, record.until))
 
     def edge_was_down(self, edge: str, start: int, end: int) -> bool:
-        """Whether the edge was down or suspended at any time between the two."""
+        """Whether the edge was down or suspended at any time between `start` and `end`."""
         return any(
             outage.start <= end and outage.end + CROSS_SOCKET_TOLERANCE_US >= start
             for outage in self.outages[edge]
         )
 
     def survives(self, commit: Committed) -> bool:
-        """Whether the group still holds the commit after all its failovers."""
+        """Whether the commit is still in the group's log after all later failovers."""
         later_starts = [p.start for p in self.promotions[commit.group] if p.epoch > commit.epoch]
         return all(commit.position <= start for start in later_starts)
 
     def first_response(self, attempt: ClientAttempt) -> ResponseReceived | None:
-        """The first response that the client has to its attempt."""
+        """The first response to a client attempt, or None."""
         responses = self.responses.get(attempt)
         return responses[0] if responses else None
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One breach of a rule, with the record that shows it."""
+    """A violation of a rule, with the record that proves it."""
 
     rule: int
     text: str
--- a/juniperreel/verification/raft.py
+++ b/juniperreel/verification/raft.py
@@ -1,6 +1,6 @@
-"""Raft's safety properties (the paper's figure 3), judged from what nodes stored, led and applied.
+"""Checks of Raft's safety properties (figure 3 of the Raft paper) on the observed steps of nodes.
 
-Knows nothing of how they came to do so.
+The checker sees votes, logs, leaders and applied entries only, and is independent of the implementation.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 
 
 class AppliedEntry(NamedTuple):
-    """What was applied at an index."""
+    """The entry that was applied at an index."""
 
     term: int
     data: bytes
 
 
 def extend_digest(previous: bytes, term: int, data: bytes) -> bytes:
-    """The digest of a log that one more entry was appended to."""
+    """The digest of a log after one more entry was appended."""
     content = previous + term.to_bytes(TERM_BYTES, "big") + data
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
 class RaftSafetyChecker:
-    """Observes every step of a cluster as it happens.
+    """Checks every step of a cluster as it happens.
 
-    Each method raises SafetyViolationError at the first step that breaks a property.
+    Each method raises SafetyViolationError if the step violates a safety property.
     """
 
     def __init__(self) -> None:
-        self.committed = 0  # highest index that any node applied
+        self.committed = 0  # highest index applied by any node
         self._leaders: dict[int, str] = {}  # by term
         self._votes: dict[tuple[str, int], str] = {}  # by node and term
         self._digests: dict[tuple[int, int], bytes] = {(0, 0): b""}  # of the log up to an (index, term)
@@ -62,7 +62,7 @@
         self._states: dict[int, bytes] = {}  # digest of the state machine, by last applied index
 
     def record_vote(self, node: str, term: int, vote: str | None) -> None:
-        """Check the durable vote of a node: never two of them in a term."""
+        """Check that a node never persists votes for two candidates in one term."""
         if vote is None:
             return
         earlier = self._votes.setdefault((node, term), vote)
@@ -70,7 +70,7 @@
             raise SafetyViolationError(f"{node} voted for {earlier} and {vote} in term {term}")
 
     def record_append(self, node: str, entries: Iterable[LogEntry]) -> None:
-        """Check log matching: entries of one index and term have the same log before them."""
+        """Check log matching: logs with the same index and term are identical up to that entry."""
         log = self._logs.setdefault(node, {0: LogPrefix(0, b"")})
         for entry in entries:
             previous = log.get(entry.index - 1)
@@ -129,7 +129,7 @@
                 )
 
     def record_apply(self, node: str, entry: LogEntry) -> None:
-        """Check state machine safety: one entry for an index, on all nodes, in order."""
+        """Check state machine safety: all nodes apply the same entry at an index, in order."""
         expected = self._last_applied.get(node, 0) + 1
         if entry.index != expected:
             raise SafetyViolationError(f"{node} applied {entry.index} where {expected} was next")
@@ -146,5 +146,5 @@
             raise SafetyViolationError(f"state machine safety: {node} has another state after {index}")
 
     def record_restart(self, node: str, applied: int) -> None:
-        """Note that the node's state machine starts again from its snapshot at `applied`."""
+        """Record that the node's state machine restarted from its snapshot at `applied`."""
         self._last_applied[node] = applied
--- a/juniperreel/verification/records.py
+++ b/juniperreel/verification/records.py
@@ -1,11 +1,12 @@
-"""Records of what crossed the sockets: one JSON object a line, written by the processes outside the edges.
+"""Records of socket traffic: JSON Lines, written by the processes that surround the edges.
 
 Times are whole microseconds since the Unix epoch on the recording process's clock. Two identifiers name a
-request. `request_id` is the client's: the same in all attempts of the client, it travels inside the
-statement, so that endpoints see it whatever the edge makes of the rest. `edge_request_id` is the edge's own.
+request. `request_id` is assigned by the client and is the same in all of its attempts. It is part of the
+statement's text, so that endpoints see it however the edge encodes the rest. `edge_request_id` is assigned by
+the edge.
 
-Recordings are kept for years: the `tag` of a record and the `name` of a field are the stored ones and never
-change, whatever their names are here.
+Recordings are kept for years: the `tag` of a record and the `name` of a field are the stored names and must
+never change, even where the Python names do.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """One event; `at` is when it happened."""
+    """Base of all records; `at` is the time of the event."""
 
     at: int
 
 
 class RequestClass(Record, frozen=True, tag="Class"):
-    """A request class as the clients know it. `max_staleness_us` is -1 unless its reads are bounded."""
+    """A request class as configured at the clients. `max_staleness_us` is -1 for reads without a bound."""
 
     name: str
     idempotency: str = field(name="effect")
@@ -52,10 +53,10 @@
 
 
 class Limits(Record, frozen=True, tag="Limits"):
-    """The figures that the rules are checked against."""
+    """The limits that the rules are checked against."""
 
     drain_grace_us: int
-    initial_capacity: float = field(name="cold_from")  # part of the full one when slow start begins
+    initial_capacity: float = field(name="cold_from")  # fraction of the full one when slow start begins
     slow_start_us: int = field(name="cold_us")
     overload_multiple: float = field(name="fall_multiple")
     overload_window_us: int = field(name="overload_us")
@@ -63,7 +64,7 @@
 
 
 class RequestSent(Record, frozen=True, tag="Asked"):
-    """A client wrote a request to an edge; it stops waiting at `deadline`."""
+    """A client sent a request to an edge; it stops waiting at `deadline`."""
 
     request_id: str = field(name="rid")
     client_attempt: int = field(name="number")  # from 0
@@ -72,14 +73,15 @@
     session: str
     tenant: str
     group: int
-    row: str  # whose rows it reads or writes
+    row: str  # key of the rows that it reads or writes
     deadline: int
 
 
 class ResponseReceived(Record, frozen=True, tag="Told"):
-    """The client has the final response to an attempt of its own.
+    """A client attempt ended with its final response.
 
-    `status` is gRPC's. `local` marks a response that the client made up: a timeout or a broken connection.
+    `status` is a gRPC status code. `local` marks a status that the client generated itself, on a timeout or a
+    broken connection.
     """
 
     request_id: str = field(name="rid")
@@ -96,13 +98,13 @@
 
 
 class LoadOffered(Record, frozen=True, tag="Offered"):
-    """How many requests were due in all, those included that no client was free to send."""
+    """The total number of requests due, including those for which no client session was free."""
 
     count: int
 
 
 class AttemptReceived(Record, frozen=True, tag="Arrived"):
-    """An endpoint has read an attempt of the edge named."""
+    """An endpoint read an attempt that `edge` sent."""
 
     endpoint: str = field(name="member")
     edge: str
@@ -115,7 +117,7 @@
 
 
 class StatementReceived(Record, frozen=True, tag="Within"):
-    """An endpoint has read a later statement of a transaction that a request began."""
+    """An endpoint read a statement of a transaction after the one that began it."""
 
     endpoint: str = field(name="member")
     edge: str
@@ -124,9 +126,9 @@
 
 
 class AttemptAbandoned(Record, frozen=True, tag="Abandoned"):
-    """The edge has closed the connection on which an attempt was running.
+    """The edge closed the connection on which an attempt was running.
 
-    The endpoint may go on with it, but nobody receives the result.
+    The endpoint may continue to execute it, but its result is discarded.
     """
 
     endpoint: str = field(name="member")
@@ -135,9 +137,9 @@
 
 
 class StatementExecuted(Record, frozen=True, tag="Ran"):
-    """An endpoint has executed a statement that carries a serial number among its values.
+    """An endpoint executed a statement with a serial number among its values.
 
-    `variables` are those set on its connection at that time.
+    `variables` are the session variables of its connection at that time.
     """
 
     endpoint: str = field(name="member")
@@ -149,9 +151,9 @@
 
 
 class StatementIntended(Record, frozen=True, tag="Meant"):
-    """What a client sent under a serial number, and what its session had set.
+    """The statement that a client sent with a serial number, and its session variables.
 
-    `served` says whether it was answered with success; `error` is the code of an error response.
+    `served` is true if the response was a success; `error` is the code of an error response.
     """
 
     serial: str
@@ -163,7 +165,7 @@
 
 
 class AttemptFinished(Record, frozen=True, tag="Left"):
-    """The endpoint is done with an attempt: answered, rejected, broken off or cancelled."""
+    """An attempt ended at its endpoint: answered, rejected, disconnected or cancelled."""
 
     endpoint: str = field(name="member")
     edge_request_id: str = field(name="request")
@@ -184,7 +186,7 @@
 
 
 class Promoted(Record, frozen=True, tag="Promoted"):
-    """An endpoint became primary; `start` is the last position that the new epoch took over."""
+    """An endpoint became primary; `start` is the last position of earlier epochs that the new epoch keeps."""
 
     group: int
     epoch: int
@@ -193,7 +195,7 @@
 
 
 class EndpointListed(Record, frozen=True, tag="Listed"):
-    """The endpoint list wrote the readiness of an endpoint to an edge's watch."""
+    """The endpoint list server sent the readiness of an endpoint to an edge."""
 
     edge: str
     endpoint: str = field(name="host")
@@ -201,7 +203,7 @@
 
 
 class EndpointStarted(Record, frozen=True, tag="Started"):
-    """An endpoint runs from now on. `capacity` is its cores times their speed after slow start."""
+    """An endpoint started. `capacity` is the number of its cores times their speed after slow start."""
 
     endpoint: str = field(name="member")
     warming_up: bool = field(name="cold")
@@ -222,7 +224,7 @@
 
 
 class EdgeDown(Record, frozen=True, tag="EdgeDown"):
-    """The edge was killed, or asked to stop."""
+    """The edge was killed or received a stop signal."""
 
     edge: str
 
@@ -235,7 +237,7 @@
 
 
 class Fault(Record, frozen=True, tag="Fault"):
-    """A fault of the scenario was injected or, where not `active`, cleared."""
+    """A fault of the scenario was injected or, if not `active`, cleared."""
 
     text: str
     active: bool = field(name="on")
@@ -267,7 +269,7 @@
 
 
 class Recorder:
-    """Collects records in memory and appends them to a file, where one is given, as they come."""
+    """Collects records in memory and, if a file is given, appends each one to it."""
 
     def __init__(self, file: BinaryIO | None = None) -> None:
         self.records: list[Record] = []
@@ -282,7 +284,7 @@
 
 
 def read_recording(path: Path) -> Iterator[Record]:
-    """Yield the records of a file. Raises RecordingFormatError at the first line that is none."""
+    """Yield the records of a file. Raises RecordingFormatError at the first line that cannot be decoded."""
     decoder = msgspec.json.Decoder(AnyRecord)
     with path.open("rb") as lines:
         for number, line in enumerate(lines, 1):
--- a/juniperreel/verification/responses.py
+++ b/juniperreel/verification/responses.py
@@ -8,7 +8,7 @@
 from juniperreel.verification.records import AttemptReceived, RequestSent, ResponseReceived
 
 RULE = 1
-CLIENT_TIMER_TOLERANCE_US = 15_000  # by which a client's timer may overtake a response that was in time
+CLIENT_TIMER_TOLERANCE_US = 15_000  # a client's timer may fire this long before it reads a timely response
 
 
 def check_responses(history: History) -> list[Violation]:
@@ -25,8 +25,8 @@
     history: History, request: RequestSent, responses: list[ResponseReceived]
 ) -> Iterator[Violation]:
     if not responses:
-        due = request.deadline <= history.end
-        if due and not history.edge_was_down(request.edge, request.at, request.deadline):
+        deadline_passed = request.deadline <= history.end
+        if deadline_passed and not history.edge_was_down(request.edge, request.at, request.deadline):
             yield Violation(RULE, f"{request.request_id} was never answered", request)
         return
     if len(responses) > 1:
@@ -54,7 +54,7 @@
 
 
 def _is_open(history: History, client_attempt: ClientAttempt, attempt: AttemptReceived) -> bool:
-    """Whether the client still waited for its response when the attempt arrived at an endpoint."""
+    """Whether the client was still waiting for a response when the attempt arrived at an endpoint."""
     request = history.requests[client_attempt]
     if request.at > attempt.at:
         return False
--- a/juniperreel/verification/rules.py
+++ b/juniperreel/verification/rules.py
@@ -1,4 +1,4 @@
-"""The five rules that the program must hold, each with the checker that judges it from records alone."""
+"""The five rules that the program must satisfy, each with the checker that verifies it from records alone."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Rule(NamedTuple):
-    """A rule's short name, as reports print it, and its checker."""
+    """A rule's name in reports, and its checker."""
 
     name: str
     check: Callable[[History], list[Violation]]
@@ -31,6 +31,6 @@
 
 
 def check_all(records: Iterable[Record]) -> dict[int, list[Violation]]:
-    """Violations by number of the rule; the list of a rule that holds is empty."""
+    """Violations by rule number; the list is empty for a rule that holds."""
     history = History.of(records)
     return {number: rule.check(history) for number, rule in RULES.items()}
--- a/juniperreel/verification/slow_start.py
+++ b/juniperreel/verification/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: all edges together never send a warming endpoint more than a multiple of its capacity."""
+"""Rule 4: all edges together never send a warming endpoint more than a multiple of its current capacity."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def check_slow_start(history: History) -> list[Violation]:
-    """Find endpoints that were sent too much while they warmed up, and those that failed of it."""
+    """Find endpoints that were overloaded during slow start, and those that failed because of it."""
     limits = history.limits
     if limits is None:
         return []
@@ -37,7 +37,7 @@
 def _first_overload(
     limits: Limits, start: EndpointStarted, arrivals: Sequence[AttemptReceived]
 ) -> Violation | None:
-    """The first sliding window of one slow start that holds more work than the endpoint bears."""
+    """The first sliding window during a slow start with more work than the overload threshold."""
     window: list[AttemptReceived] = []
     for arrival in arrivals:
         age_us = arrival.at - start.at
@@ -46,9 +46,9 @@
         window = [earlier for earlier in window if earlier.at > arrival.at - limits.overload_window_us]
         window.append(arrival)
         ramp = limits.initial_capacity + (1 - limits.initial_capacity) * age_us / limits.slow_start_us
-        bearable_us = limits.overload_multiple * ramp * start.capacity * limits.overload_window_us
-        sent_us = sum(earlier.work_us for earlier in window)
-        if sent_us > bearable_us:
-            text = f"{start.endpoint} was sent {sent_us / bearable_us:.2f} times what it bears"
+        allowed_work_us = limits.overload_multiple * ramp * start.capacity * limits.overload_window_us
+        offered_work_us = sum(earlier.work_us for earlier in window)
+        if offered_work_us > allowed_work_us:
+            text = f"{start.endpoint} was sent {offered_work_us / allowed_work_us:.2f} times what it bears"
             return Violation(RULE, text, arrival)
     return None
--- a/juniperreel/verification/spread.py
+++ b/juniperreel/verification/spread.py
@@ -1,10 +1,10 @@
-"""How evenly a group's endpoints are loaded by edges that share nothing: measures, from arrivals alone.
+"""Measures of how evenly independent edges load a group's endpoints, computed from arrivals alone.
 
-Counts are set against independent arrivals at the same mean (a Poisson process), and endpoints against what
-is fair for them: a part by weight of all that arrived in the same bin, so that swings of the traffic do not
-count as uneven load. Endpoints whose weight is 0 in a bin (removed, draining, warming up) are excluded from
-it, together with what they were sent. The limits are the caller's; each one that is exceeded gives a
-finding with time and endpoint.
+Counts are compared with independent arrivals at the same mean (a Poisson process). The fair count of an
+endpoint is its weighted share of all arrivals in the same time bin, so that fluctuations of the total traffic
+do not count as uneven load. Endpoints whose weight is 0 in a bin (removed, draining, warming up) are excluded
+from it, together with their arrivals. The caller sets the limits; each one that is exceeded gives a finding
+with time and endpoint.
 """
 
 from __future__ import annotations
@@ -31,40 +31,40 @@
 SECOND = 1_000_000
 PEAK_BIN_US = SECOND // 2
 SYNCHRONY_BIN_US = SECOND // 10
-MIN_EXPECTED_COUNT = 5.0  # with a lower expected count, a bin says nothing of a single endpoint
-SHARE_DEVIATIONS = 3  # of independent arrivals, by which a share must be off as well
-PEAK_DEVIATIONS = 4  # likewise of a rate
-MIN_REQUESTS = 20  # of an edge whose served share is compared
+MIN_EXPECTED_COUNT = 5.0  # below this, a bin is not significant for a single endpoint
+SHARE_DEVIATIONS = 3  # a finding also needs this many standard deviations of independent arrivals
+PEAK_DEVIATIONS = 4  # the same for a peak rate
+MIN_REQUESTS = 20  # edges with fewer are not compared by served share
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One attempt at an endpoint. Times are microseconds."""
+    """The arrival of one attempt at an endpoint. Times are in microseconds."""
 
     at: int
     endpoint: str
     edge: str
 
 
-# An endpoint's fair part of its group at a time, relative to the others': 0 while it is not eligible.
+# The weight of an endpoint at a time, relative to the others of its group: 0 while it is not eligible.
 Weight = Callable[[str, int], float]
 
 
 def equal_weight(_endpoint: str, _at: int) -> float:
-    """Count every endpoint alike at all times."""
+    """Give every endpoint the same weight at all times."""
     return 1.0
 
 
 def arrivals(records: Iterable[Record], endpoints: Iterable[str]) -> list[Arrival]:
-    """The attempts that the endpoints received, in order of time."""
-    wanted = set(endpoints)
+    """The attempts that the given endpoints received, ordered by time."""
+    selected = set(endpoints)
     found = [Arrival(r.at, r.endpoint, r.edge) for r in records if isinstance(r, AttemptReceived)]
-    return sorted((a for a in found if a.endpoint in wanted), key=lambda a: a.at)
+    return sorted((a for a in found if a.endpoint in selected), key=lambda a: a.at)
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One endpoint in one bin of time: the arrivals counted, and the count that was fair."""
+    """One endpoint in one time bin: the observed and the fair number of arrivals."""
 
     start: int
     endpoint: str
@@ -73,7 +73,7 @@
 
     @property
     def share(self) -> float:
-        """The count in units of the fair one."""
+        """The ratio of the observed to the fair count."""
         return self.count / self.fair
 
 
@@ -85,7 +85,7 @@
     bin_us: int,
     weight: Weight = equal_weight,
 ) -> list[Cell]:
-    """Cells of the complete bins between two times; an endpoint of weight 0 in a bin has no cell there."""
+    """Cells of the complete bins in an interval; an endpoint with weight 0 in a bin has no cell there."""
     counts: dict[int, Counter[str]] = defaultdict(Counter)
     for arrival in observed:
         if since <= arrival.at < until:
@@ -107,8 +107,8 @@
 def dispersion(cells: Sequence[Cell]) -> float:
     """Index of dispersion of the counts around the fair ones.
 
-    It is 1 for independent arrivals, less for round-robin, more for herds, NaN where nothing arrived. The
-    bins' totals are taken as given, so that one degree of freedom is lost in each.
+    It is 1 for independent arrivals, less for round-robin, more for herding, and NaN without arrivals. The
+    totals of the bins are taken as given, which costs one degree of freedom per bin.
     """
     by_bin: dict[int, list[Cell]] = defaultdict(list)
     for cell in cells:
@@ -129,7 +129,7 @@
 
 
 def peak_rate(cells: Sequence[Cell]) -> Peak:
-    """The most that an endpoint received beside its fair part of the mean bin, chance included."""
+    """The highest count of an endpoint relative to its mean fair count, not corrected for chance."""
     fair_counts: dict[str, list[float]] = defaultdict(list)
     for cell in cells:
         fair_counts[cell.endpoint].append(cell.fair)
@@ -142,7 +142,7 @@
 
 
 class IdleSpan(NamedTuple):
-    """A span without work at an endpoint. Times are microseconds."""
+    """An interval without arrivals at an endpoint. Times are in microseconds."""
 
     duration_us: int
     endpoint: str
@@ -156,7 +156,7 @@
     until: int,
     weight: Weight = equal_weight,
 ) -> IdleSpan:
-    """The longest time that an eligible endpoint received no work."""
+    """The longest interval in which an eligible endpoint received no work."""
     longest = IdleSpan(0, "", since)
     for endpoint in endpoints:
         times = [since, *(a.at for a in observed if a.endpoint == endpoint and since <= a.at < until), until]
@@ -168,10 +168,10 @@
 
 
 def oscillation(cells: Sequence[Cell], lag: int) -> float:
-    """Autocorrelation, over all endpoints, of what exceeds the fair count, `lag` bins apart.
+    """Autocorrelation, over all endpoints, of the deviation from the fair count, `lag` bins apart.
 
-    It is about 0 for chance and negative where an endpoint is flooded and avoided in turn; NaN where there
-    are too few bins.
+    It is about 0 for independent arrivals, negative if endpoints are alternately flooded and avoided, and NaN
+    if there are too few bins.
     """
     rows: dict[str, dict[int, float]] = defaultdict(dict)
     for cell in cells:
@@ -181,18 +181,18 @@
         return math.nan
     step = starts[1] - starts[0]
     covariance = 0.0
-    power = 0.0
+    variance = 0.0
     for row in rows.values():
         for start, value in row.items():
             later = row.get(start + lag * step)
             if later is not None:
                 covariance += value * later
-                power += (value * value + later * later) / 2
-    return covariance / power if power else math.nan
+                variance += (value * value + later * later) / 2
+    return covariance / variance if variance else math.nan
 
 
 def synchrony(times: Sequence[int], since: int, until: int, bin_us: int = SYNCHRONY_BIN_US) -> float:
-    """After a common event: the highest count of a bin against a uniform distribution of as many."""
+    """The highest count of a bin after a common event, relative to a uniform distribution of all counts."""
     counts = Counter((time - since) // bin_us for time in times if since <= time < until)
     total = sum(counts.values())
     fair = total * bin_us / (until - since)
@@ -200,28 +200,28 @@
 
 
 class ServedShares(NamedTuple):
-    """Served share of the edge that serves worst, and of the one that serves best."""
+    """The lowest and the highest served share of all edges."""
 
     worst: float
     best: float
 
 
 class RequestTotals(NamedTuple):
-    """Requests of one edge: those served, and all that it accepted."""
+    """The numbers of requests that one edge served and accepted."""
 
     served: int
     accepted: int
 
 
 def served_shares(totals: dict[str, RequestTotals], min_requests: int = MIN_REQUESTS) -> ServedShares | None:
-    """Worst and best served share by edge, among edges with enough requests. None where there is no such."""
+    """Lowest and highest served share among edges with enough requests; None if there are no such edges."""
     shares = [edge.served / edge.accepted for edge in totals.values() if edge.accepted >= min_requests]
     return ServedShares(min(shares), max(shares)) if shares else None
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a group must stay within. None: not checked."""
+    """Limits for a group; those that are None are not checked."""
 
     share: tuple[float, float] | None = (0.8, 1.25)  # in each window
     window_us: int = 10 * SECOND
@@ -232,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One bound that was exceeded, and when."""
+    """A limit that was exceeded, and when."""
 
     measure: str
     text: str
@@ -247,10 +247,10 @@
     bounds: Bounds,
     weight: Weight = equal_weight,
 ) -> list[Finding]:
-    """Every bound that was exceeded between two times.
+    """All bounds that were exceeded in an interval.
 
-    What chance alone does is no finding: a share must be off by `SHARE_DEVIATIONS` standard deviations of
-    independent arrivals as well, a rate by `PEAK_DEVIATIONS`.
+    Random fluctuation is not reported: a share must also deviate by `SHARE_DEVIATIONS` standard deviations of
+    independent arrivals, and a peak rate by `PEAK_DEVIATIONS`.
     """
     found: list[Finding] = []
     if bounds.share is not None:
@@ -282,10 +282,9 @@
 
 
 def _exceeds_chance(peak: Peak, allowed: float) -> bool:
-    """Whether a peak is above its bound and no accident.
+    """Whether a peak exceeds its bound and is statistically significant.
 
-    Where a bin expects few arrivals, a count of twice their mean comes about by chance alone and must not be
-    reported as a herd.
+    In a bin with a low expected count, twice the mean occurs by chance and must not be reported as herding.
     """
     cell = peak.cell
     if cell is None or peak.ratio <= allowed:
@@ -294,14 +293,14 @@
 
 
 class EligibilityWeight:
-    """A weight from records: 1 while an endpoint runs, has warmed up, and no edge was notified of its end.
+    """A weight from records: 1 while an endpoint runs, is warmed up and was listed to no edge as not ready.
 
-    Endpoints that committed a write at any time were primaries, whose load does not come from the random
-    selection of replicas: 0 always.
+    Endpoints that committed a write at any time have weight 0 throughout: they were primaries, whose load
+    does not come from the random selection of replicas.
     """
 
     def __init__(self, records: Iterable[Record]) -> None:
-        self.groups: dict[str, int] = {}  # group of each endpoint that received a request
+        self.groups: dict[str, int] = {}  # by endpoint that received a request
         self._eligible_spans: dict[str, list[tuple[int, int]]] = defaultdict(list)
         self._primaries: set[str] = set()
         self._request_groups: dict[str, int] = {}  # by request_id
@@ -339,12 +338,12 @@
             self._eligible_spans[endpoint].append((start, at))
 
     def __call__(self, endpoint: str, at: int) -> float:
-        """The weight of an endpoint at a time."""
+        """The weight of an endpoint at a given time."""
         if endpoint in self._primaries:
             return 0.0
         eligible = any(start <= at < end for start, end in self._eligible_spans[endpoint])
         return 1.0 if eligible else 0.0
 
     def replicas(self, group: int) -> list[str]:
-        """The group's endpoints that received requests and never were primary, sorted."""
+        """The endpoints of a group that received requests and were never primary, sorted."""
         return sorted(e for e, number in self.groups.items() if number == group and e not in self._primaries)
--- a/juniperreel/verification/staleness.py
+++ b/juniperreel/verification/staleness.py
@@ -1,4 +1,4 @@
-"""Rule 5: every served read contains the writes that its class promises, judged by its rows."""
+"""Rule 5: the rows of every served read include the writes that its class guarantees to be visible."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 @dataclass(slots=True)
 class ReadCounts:
-    """How many reads the verdict rests on."""
+    """The numbers of reads and rows that were checked."""
 
-    session: int = 0  # that must contain their session's own writes
-    bounded: int = 0  # that must contain all writes older than a bound
+    session: int = 0  # reads that must include their session's own writes
+    bounded: int = 0  # reads that must include all writes older than a bound
     rows: int = 0
 
 
 class SessionRow(NamedTuple):
-    """Identifies one session's writes of one row."""
+    """Identifies the writes of one session to one row."""
 
     session: str
     row: str
 
 
 class AcknowledgedWrite(NamedTuple):
-    """A write whose client received its success at `at`."""
+    """A write whose client received a success response at `at`."""
 
     at: int
     request_id: str
 
 
 def check_reads(history: History, counts: ReadCounts | None = None) -> list[Violation]:
-    """Find served reads that lack a write; `counts` receives how many were checked."""
+    """Find served reads that lack a required write; `counts` is updated with the numbers checked."""
     checker = _ReadChecker(history, counts or ReadCounts())
     found: list[Violation] = []
     for attempt, request in history.requests.items():
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ServedRead:
-    """A read and its response. Positions below `oldest_position` lie before a response that was cut short."""
+    """A read and its response. A response that was truncated shows no commits below `oldest_position`."""
 
     request: RequestSent
     response: ResponseReceived
@@ -63,7 +63,7 @@
 
 
 class _ReadChecker:
-    """Compares the rows of a response with the writes that it must contain."""
+    """Compares the rows of a response with the writes that it must include."""
 
     def __init__(self, history: History, counts: ReadCounts) -> None:
         self._history = history
@@ -74,7 +74,7 @@
     def check(
         self, request: RequestSent, request_class: RequestClass, response: ResponseReceived
     ) -> list[Violation]:
-        """Violations of one served read: at most one for the session, one for the bound."""
+        """Violations by one served read: at most one for its session and one for the staleness bound."""
         returned_ids = frozenset(response.rows)
         read = _ServedRead(
             request, response, returned_ids, self._oldest_position(request, response, returned_ids)
@@ -114,10 +114,10 @@
         sent_at = self._served_attempt_at(read)
         if sent_at is None:
             return None
-        due = sent_at - max_staleness_us
+        newest_required_position = sent_at - max_staleness_us
         for commit in self._commits_by_row[read.request.row]:
             if (
-                read.oldest_position <= commit.position <= due
+                read.oldest_position <= commit.position <= newest_required_position
                 and commit.request_id not in read.returned_ids
                 and self._history.survives(commit)
             ):
@@ -127,7 +127,7 @@
         return None
 
     def _served_attempt_at(self, read: _ServedRead) -> int | None:
-        """When the attempt that was answered arrived: the last one at its endpoint."""
+        """When the served attempt arrived: the last one at the responding endpoint before the response."""
         response = read.response
         attempts = self._history.attempts.get(read.request.request_id, [])
         times = [a.at for a in attempts if a.endpoint == response.endpoint and a.at <= response.at]
@@ -135,7 +135,7 @@
 
 
 def _commits_by_row(history: History) -> dict[str, list[Committed]]:
-    """The commits of each row in order of their positions."""
+    """The commits of each row, ordered by position."""
     by_row: dict[str, list[Committed]] = defaultdict(list)
     for commits in history.commits.values():
         for commit in commits:
@@ -146,7 +146,7 @@
 
 
 def _acknowledged_writes(history: History) -> dict[SessionRow, list[AcknowledgedWrite]]:
-    """The writes of each session and row whose success the client received."""
+    """The writes of each session and row that were acknowledged to the client."""
     writes: dict[SessionRow, list[AcknowledgedWrite]] = defaultdict(list)
     for attempt, responses in history.responses.items():
         request = history.requests.get(attempt)
--- a/juniperreel/verification/versions.py
+++ b/juniperreel/verification/versions.py
@@ -1,7 +1,8 @@
-"""Whether a node applied a configuration that was not committed, judged from what was seen on the sockets.
+"""Checks from socket traffic that nodes applied only committed configuration versions.
 
-Versions are identified by number and digest of their content. What a quorum's leader confirmed to a proposer,
-or returned as a linearizable read, is committed; whatever a node applied must be one of those, in order.
+Versions are identified by number and content digest. A version is committed if the leader of a quorum
+confirmed it to a proposer or returned it from a linearizable read. Each node must apply committed versions
+only, in order.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionConfirmed:
-    """A version was confirmed as committed, with the digest of its content, at a time in microseconds."""
+    """A version was confirmed as committed; `at` is in microseconds."""
 
     at: int
     version: int
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionApplied:
-    """A node put a version into force, at a time in microseconds."""
+    """A node applied a version; `at` is in microseconds."""
 
     at: int
     node: str
@@ -35,7 +36,7 @@
 
 
 def check_versions(records: Iterable[VersionRecord]) -> list[str]:
-    """Descriptions of all violations; empty if every node applied committed versions in order."""
+    """Describe all violations; the list is empty if every node applied committed versions in order."""
     found: list[str] = []
     committed: dict[int, str] = {}
     applied: list[VersionApplied] = []
@@ -64,7 +65,7 @@
 def propagation_delays_s(
     records: Iterable[VersionRecord], version: int, node_count: int
 ) -> list[float] | None:
-    """Seconds from the confirmation of a version until each node applied it or a later one, sorted.
+    """Seconds from the confirmation of a version until each node applied it or a later version, sorted.
 
     None if the version was not confirmed, or fewer than `node_count` nodes applied it.
     """
