--- a/tests/verification/test_executions.py
+++ b/tests/verification/test_executions.py
@@ -1,4 +1,4 @@
-"""The checker of executions finds injected mismatches, and nothing else."""
+"""The execution checker reports injected mismatches, and reports nothing for a clean run."""
 
 from __future__ import annotations
 
--- a/tests/verification/test_records.py
+++ b/tests/verification/test_records.py
@@ -1,4 +1,4 @@
-"""Recordings: whatever is written can be read again, and so can what earlier versions wrote."""
+"""Recordings can be read back, including those that earlier versions wrote."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     dict[str, str]: {"a": "b"},
 }
 
-# One line of every kind as written before the records and their fields were renamed: the value of each field
-# tells its position.
+# One line of every kind of record in the stored format, written before the classes and fields were renamed in
+# the code. The value of each field encodes its position.
 STORED_LINES = Path(__file__).with_name("stored_records.jsonl").read_bytes().splitlines()
 POSITIONAL_VALUES: dict[Any, Any] = {
     int: lambda position: position,
@@ -44,7 +44,7 @@
 
 
 def test_every_kind_of_record_can_be_read(tmp_path: Path) -> None:
-    """A kind that is written and unknown to the reader would make a whole recording useless."""
+    """A kind that is written but unknown to the reader would make the whole recording unreadable."""
     assert set(get_args(rec.AnyRecord)) == set(KINDS)
     path = tmp_path / "recording"
     with path.open("wb") as out:
--- a/tests/verification/test_rules.py
+++ b/tests/verification/test_rules.py
@@ -1,4 +1,4 @@
-"""Each checker accepts a clean run and finds the violation that is injected into it."""
+"""Each checker accepts a clean run and finds the violations that are injected into it."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     outcome: str = "answered",
     **response: object,
 ) -> Records:
-    """All records of a request that succeeded, unless arguments say otherwise."""
+    """All records of one request, which succeeds unless the arguments say otherwise."""
     write = class_name in ("write", "once")
     records: Records = [
         rec.RequestSent(at, request_id, number, "edge0", class_name, "s1", "", 0, row, at + 2 * S),
@@ -62,7 +62,7 @@
     return records
 
 
-def clean() -> Records:
+def clean_records() -> Records:
     return [
         READ,
         OWN,
@@ -81,46 +81,46 @@
     ]
 
 
-def broken(records: Records) -> set[int]:
+def violated_rules(records: Records) -> set[int]:
     return {rule for rule, found in check_all(records).items() if found}
 
 
 def test_clean_run_holds_all_rules_and_counts_its_reads() -> None:
-    assert broken(clean()) == set()
+    assert violated_rules(clean_records()) == set()
     counts = ReadCounts()
-    check_reads(History.of(clean()), counts)
+    check_reads(History.of(clean_records()), counts)
     assert (counts.session, counts.bounded, counts.rows) == (1, 1, 2)
 
 
-def no_answer(records: Records) -> None:
+def no_response(records: Records) -> None:
     records[:] = [x for x in records if not (isinstance(x, rec.ResponseReceived) and x.request_id == "q3")]
 
 
 def client_timed_out(records: Records) -> None:
-    no_answer(records)
+    no_response(records)
     records.append(rec.ResponseReceived(14 * S, "q3", 0, 4, local=True))
 
 
-def late_answer(records: Records) -> None:
-    no_answer(records)
+def late_response(records: Records) -> None:
+    no_response(records)
     records.append(rec.ResponseReceived(15 * S, "q3", 0, 0, endpoint="m1", rows=["q1"]))
 
 
-def two_answers(records: Records) -> None:
+def two_responses(records: Records) -> None:
     records.append(rec.ResponseReceived(12 * S + 20_000, "q3", 0, 14))
 
 
-def sent_after_the_answer(records: Records) -> None:
+def attempt_after_the_response(records: Records) -> None:
     records.append(
         rec.AttemptReceived(12 * S + 200_000, "m1", "edge0", "edge0-a-q30", 1, "q3", "read", False, 10_000)
     )
 
 
-def effect_twice(records: Records) -> None:
+def duplicate_effect(records: Records) -> None:
     records.append(rec.Committed(20 * S, 0, 1, 20 * S, "m1", "q1", "r"))
 
 
-def two_at_once(records: Records) -> None:
+def concurrent_attempts(records: Records) -> None:
     records.append(
         rec.AttemptReceived(12 * S + 1500, "m2", "edge0", "edge0-a-q30", 1, "q3", "read", False, 10_000)
     )
@@ -128,7 +128,7 @@
 
 
 def abandoned_too_late(records: Records) -> None:
-    two_at_once(records)
+    concurrent_attempts(records)
     records.append(rec.AttemptAbandoned(12 * S + 200_000, "m1", "edge0-a-q30", 0))
 
 
@@ -157,19 +157,19 @@
     records.extend(request("q9", "once", 30 * S, commit=True, status=14, row="z"))
 
 
-def after_the_grace(records: Records) -> None:
+def attempt_after_the_grace(records: Records) -> None:
     records.append(rec.EndpointListed(14 * S, "edge0", "m1", "draining"))
     records.append(rec.EndpointListed(15 * S, "edge0", "m1", "gone"))
     records.extend(request("q9", "read", 17 * S, rows=["q1"]))
 
 
-def a_transaction_beyond_the_grace(records: Records) -> None:
+def transaction_statement_after_the_grace(records: Records) -> None:
     records.append(rec.EndpointListed(14 * S, "edge0", "m1", "draining"))
     records.append(rec.StatementReceived(17 * S, "m1", "edge0", "edge0-a-q40", 1))
 
 
 def overloaded_while_warming_up(records: Records) -> None:
-    for number in range(120):  # 1.2 s of work within the window; 2 x 0.2 x 2 cores x 2 s = 1.6 s is borne
+    for number in range(120):  # 1.2 s of work within the window; 2 x 0.2 x 2 cores x 2 s = 1.6 s are allowed
         records.extend(request(f"c{number}", "read", 1 * S + 5000 * number, "m2", rows=[], row="none"))
     heavy = rec.AttemptReceived(2 * S, "m2", "edge0", "edge0-a-c1190", 0, "c119", "read", False, 3 * S)
     records.append(heavy)
@@ -183,59 +183,59 @@
     records.extend(request("q9", "own", 20 * S, rows=[]))
 
 
-def too_old(records: Records) -> None:
+def stale_read(records: Records) -> None:
     records.extend(request("q9", "read", 20 * S, rows=[]))
 
 
-def lost_but_acknowledged(records: Records) -> None:
-    """A write that a failover cut off was confirmed, and its session is served without it."""
+def acknowledged_write_lost(records: Records) -> None:
+    """An acknowledged write was lost in a failover, and a later read of its session does not include it."""
     records.append(rec.Promoted(15 * S, 0, 2, 9 * S, "m2"))
     records.extend(request("q9", "own", 20 * S, rows=[]))
 
 
 INJECTED: list[tuple[Callable[[Records], None], int]] = [
-    (no_answer, 1),
+    (no_response, 1),
     (client_timed_out, 1),
-    (late_answer, 1),
-    (two_answers, 1),
-    (sent_after_the_answer, 1),
-    (effect_twice, 2),
-    (two_at_once, 2),
+    (late_response, 1),
+    (two_responses, 1),
+    (attempt_after_the_response, 1),
+    (duplicate_effect, 2),
+    (concurrent_attempts, 2),
     (abandoned_too_late, 2),
     (too_many_attempts, 2),
     (non_idempotent_retried, 2),
     (retried_after_the_deduplication_window, 2),
     (rejected_though_it_took_effect, 2),
-    (after_the_grace, 3),
-    (a_transaction_beyond_the_grace, 3),
+    (attempt_after_the_grace, 3),
+    (transaction_statement_after_the_grace, 3),
     (overloaded_while_warming_up, 4),
     (failed_while_warming_up, 4),
     (own_write_missing, 5),
-    (too_old, 5),
-    (lost_but_acknowledged, 5),
+    (stale_read, 5),
+    (acknowledged_write_lost, 5),
 ]
 
 
 @pytest.mark.parametrize("inject,rule", INJECTED, ids=[inject.__name__ for inject, _ in INJECTED])
 def test_injected_violation_is_found(inject: Callable[[Records], None], rule: int) -> None:
-    records = clean()
+    records = clean_records()
     inject(records)
-    assert rule in broken(records)
+    assert rule in violated_rules(records)
 
 
-def within_the_grace(records: Records) -> None:
+def attempt_within_the_grace(records: Records) -> None:
     records.append(rec.EndpointListed(14 * S, "edge0", "m1", "draining"))
     records.extend(request("q9", "read", 15 * S + 900_000, rows=["q1"]))
 
 
-def a_transaction_within_the_grace(records: Records) -> None:
+def transaction_statement_within_the_grace(records: Records) -> None:
     records.append(rec.EndpointListed(14 * S, "edge0", "m1", "draining"))
     records.append(rec.StatementReceived(15 * S, "m1", "edge0", "edge0-a-q40", 1))
 
 
 def abandoned_in_time(records: Records) -> None:
-    """The member goes on with a statement whose edge has closed the connection."""
-    two_at_once(records)
+    """The endpoint continues to execute a statement after the edge has closed its connection."""
+    concurrent_attempts(records)
     records.append(rec.AttemptAbandoned(12 * S + 1400, "m1", "edge0-a-q30", 0))
     records.append(rec.AttemptFinished(12 * S + 9000, "m2", "edge0-a-q30", 1, "answered", False))
 
@@ -249,12 +249,12 @@
 def edge_killed(records: Records) -> None:
     records.append(rec.EdgeDown(12 * S + 5000, "edge0"))
     records.append(rec.EdgeUp(14 * S, "edge0"))
-    no_answer(records)
+    no_response(records)
     records.append(rec.ResponseReceived(12 * S + 6000, "q3", 0, 14, local=True))
 
 
-def cut_off_and_repeated(records: Records) -> None:
-    """The first effect was lost with its epoch; the second is the only one."""
+def lost_effect_repeated(records: Records) -> None:
+    """The first commit was lost with its epoch, so that the repeated one is the only effect."""
     records.append(rec.Promoted(15 * S, 0, 2, 9 * S, "m2"))
     records.append(rec.Committed(16 * S, 0, 2, 16 * S, "m2", "q1", "r"))
 
@@ -269,12 +269,12 @@
 
 
 ALLOWED = [
-    within_the_grace,
-    a_transaction_within_the_grace,
+    attempt_within_the_grace,
+    transaction_statement_within_the_grace,
     abandoned_in_time,
     listed_again,
     edge_killed,
-    cut_off_and_repeated,
+    lost_effect_repeated,
     rejected_then_retried,
     behind_then_served,
 ]
@@ -282,19 +282,19 @@
 
 @pytest.mark.parametrize("inject", ALLOWED, ids=[inject.__name__ for inject in ALLOWED])
 def test_allowed_behaviour_is_no_violation(inject: Callable[[Records], None]) -> None:
-    records = clean()
+    records = clean_records()
     inject(records)
-    assert broken(records) == set()
+    assert violated_rules(records) == set()
 
 
 def test_recording_is_read_back_and_a_bad_line_is_reported_by_number(tmp_path: Path) -> None:
-    path = tmp_path / "day"
+    path = tmp_path / "recording"
     with path.open("wb") as out:
         recorder = rec.Recorder(out)
-        for record in clean():
+        for record in clean_records():
             recorder(record)
-    assert list(rec.read_recording(path)) == clean() == recorder.records
+    assert list(rec.read_recording(path)) == clean_records() == recorder.records
     with path.open("ab") as out:
         out.write(msgspec.json.encode({"type": "Nothing", "at": 1}) + b"\n")
-    with pytest.raises(RecordingFormatError, match=f":{len(clean()) + 1}:"):
+    with pytest.raises(RecordingFormatError, match=f":{len(clean_records()) + 1}:"):
         list(rec.read_recording(path))
--- a/tests/verification/test_spread.py
+++ b/tests/verification/test_spread.py
@@ -1,4 +1,4 @@
-"""Each measure of spread on independent arrivals, and on a violation planted in them."""
+"""Each measure of spread, on independent arrivals and with a violation injected into them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def independent_arrivals(
     rate: float = 60.0, seed: int = 1, endpoints: list[str] = ENDPOINTS
 ) -> list[Arrival]:
-    """Independent arrivals at every endpoint."""
+    """Poisson arrivals at each endpoint, from random edges."""
     rng = random.Random(seed)
     observed = []
     for endpoint in endpoints:
@@ -32,7 +32,7 @@
 ALL = Bounds()
 
 
-def measures(
+def exceeded_measures(
     observed: list[Arrival], bounds: Bounds = ALL, weight: spread.Weight = spread.equal_weight
 ) -> set[str]:
     return {f.measure for f in spread.check_bounds(observed, ENDPOINTS, 0, END, bounds, weight)}
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_independent_arrivals_exceed_no_bound(seed: int) -> None:
-    assert measures(independent_arrivals(seed=seed)) == set()
+    assert exceeded_measures(independent_arrivals(seed=seed)) == set()
     assert (
         0.75
         < spread.dispersion(spread.count_by_bin(independent_arrivals(seed=seed), ENDPOINTS, 0, END, SECOND))
@@ -48,60 +48,63 @@
     )
 
 
-def test_swinging_traffic_is_no_herd() -> None:
-    swinging = [a for a in independent_arrivals(180.0) if a.at % (10 * SECOND) > 5 * SECOND or a.at % 7 == 0]
-    assert measures(swinging) == set()
+def test_varying_traffic_is_not_reported_as_herding() -> None:
+    varying = [a for a in independent_arrivals(180.0) if a.at % (10 * SECOND) > 5 * SECOND or a.at % 7 == 0]
+    assert exceeded_measures(varying) == set()
 
 
 def test_share_of_an_endpoint_selected_too_often_or_too_seldom_is_found() -> None:
     preferred = independent_arrivals() + independent_arrivals(40.0, 2, ["r3"])
-    assert "share" in measures(sorted(preferred, key=lambda a: a.at))
+    assert "share" in exceeded_measures(sorted(preferred, key=lambda a: a.at))
     rng = random.Random(3)
     avoided = [a for a in independent_arrivals() if a.endpoint != "r3" or rng.random() < 0.5]
     (first, *_) = spread.check_bounds(avoided, ENDPOINTS, 0, END, Bounds())
     assert first.measure == "share"
     assert first.text.startswith("r3")
-    half = Bounds()
-    assert measures(avoided, half, lambda m, _: 0.5 if m == "r3" else 1.0) == set()  # where that is fair
+    bounds = Bounds()
+    # With half the weight, the lower share is the fair one.
+    assert exceeded_measures(avoided, bounds, lambda m, _: 0.5 if m == "r3" else 1.0) == set()
 
 
 def test_herd_is_found_though_shares_are_even() -> None:
-    """All edges select the same endpoint for a second, each in turn."""
+    """All edges select the same endpoint for a second, then the next one."""
     observed = [
         Arrival(a.at, ENDPOINTS[a.at // SECOND % 8], a.edge) if a.at % 5 < 2 else a
         for a in independent_arrivals()
     ]
-    assert measures(observed) >= {"dispersion", "herd"}
+    assert exceeded_measures(observed) >= {"dispersion", "herd"}
 
 
 def test_idle_endpoint_is_found_unless_it_was_removed() -> None:
     observed = [
         a for a in independent_arrivals() if a.endpoint != "r5" or not 9 * SECOND < a.at < 12 * SECOND
     ]
-    assert measures(observed, Bounds(dispersion=None)) == {"idle"}
-    gone = lambda m, at: 0.0 if m == "r5" and 8 * SECOND < at < 13 * SECOND else 1.0  # noqa: E731
-    assert measures(observed, Bounds(dispersion=None, share=None), gone) == set()
+    assert exceeded_measures(observed, Bounds(dispersion=None)) == {"idle"}
+    removed = lambda m, at: 0.0 if m == "r5" and 8 * SECOND < at < 13 * SECOND else 1.0  # noqa: E731
+    assert exceeded_measures(observed, Bounds(dispersion=None, share=None), removed) == set()
 
 
 def test_oscillation_is_negative_at_the_half_period_of_waves() -> None:
-    calm = spread.count_by_bin(independent_arrivals(), ENDPOINTS, 0, END, SECOND)
-    assert abs(spread.oscillation(calm, 2)) < 0.2
-    turn = [
+    steady = spread.count_by_bin(independent_arrivals(), ENDPOINTS, 0, END, SECOND)
+    assert abs(spread.oscillation(steady, 2)) < 0.2
+    alternating = [
         a
         for a in independent_arrivals()
         if ENDPOINTS.index(a.endpoint) % 2 == a.at // (2 * SECOND) % 2 or a.at % 3 == 0
     ]
-    waves = spread.count_by_bin(turn, ENDPOINTS, 0, END, SECOND)
+    waves = spread.count_by_bin(alternating, ENDPOINTS, 0, END, SECOND)
     assert spread.oscillation(waves, 2) < -0.7
     assert spread.oscillation(waves, 4) > 0.7
-    assert math.isnan(spread.oscillation(calm[:3], 5))
+    assert math.isnan(spread.oscillation(steady[:3], 5))
 
 
 def test_synchrony_is_high_where_many_act_at_once() -> None:
     rng = random.Random(1)
-    apart = [rng.randrange(4 * SECOND) for _ in range(400)]
-    assert spread.synchrony(apart, 0, 4 * SECOND) < 2.5
-    assert spread.synchrony([*apart, *(SECOND + rng.randrange(1000) for _ in range(200))], 0, 4 * SECOND) > 10
+    spaced = [rng.randrange(4 * SECOND) for _ in range(400)]
+    assert spread.synchrony(spaced, 0, 4 * SECOND) < 2.5
+    assert (
+        spread.synchrony([*spaced, *(SECOND + rng.randrange(1000) for _ in range(200))], 0, 4 * SECOND) > 10
+    )
     assert spread.synchrony([], 0, SECOND) == 0
 
 
@@ -146,11 +149,11 @@
     )
     assert eligible.replicas(3) == ["r0"]
     assert eligible.replicas(1) == []
-    assert [eligible("r0", at * second) for at in (1, 8, 10)] == [1.0, 1.0, 0.0]  # not once it drains
+    assert [eligible("r0", at * second) for at in (1, 8, 10)] == [1.0, 1.0, 0.0]  # not once it is draining
     assert [eligible("late", at * second) for at in (2, 8, 13)] == [
         0.0,
         1.0,
         0.0,
-    ]  # warm only, and while it runs
-    assert eligible("p", second) == 0.0  # it wrote
+    ]  # once it has warmed up, while it runs
+    assert eligible("p", second) == 0.0  # it was primary
     assert eligible("unknown", second) == 0.0
