--- a/juniperreel/fakes/__init__.py
+++ b/juniperreel/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of what surrounds the edges: endpoints, their list and clients, with faults by a script."""
+"""Fakes of the environment of edges: endpoints, the endpoint list and clients, with scripted faults."""
--- a/juniperreel/fakes/capacity_model.py
+++ b/juniperreel/fakes/capacity_model.py
@@ -1,4 +1,4 @@
-"""The capacity of a fake endpoint: cores, a queue for them, speed, slow start, and failure by overload."""
+"""Capacity model of a fake endpoint: cores with a queue, speed, slow start, and failure by overload."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from juniperreel.net.clock import US
 
 MIN_SPEED = 0.01
-# Log-normal factor of a request's work: its mean is about 1, some requests cost a multiple.
+# Log-normal factor of a request's work: its mean is about 1, and some requests cost several times that.
 WORK_FACTOR_MU = -0.08
 WORK_FACTOR_SIGMA = 0.4
 
 
 class OfferedWork(NamedTuple):
-    """Work that was sent to the endpoint, and when."""
+    """Work that was offered to the endpoint, and when."""
 
     at_us: int
     work_us: int
 
 
 class CapacityModel:
-    """Executes work on a limited number of cores. Work is microseconds of one core after slow start."""
+    """Executes work on a limited number of cores. Work is in microseconds of one core after slow start."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         settings: EndpointSettings,
         on_overload: Callable[[], None],
     ) -> None:
-        """`on_overload` is called when a warming endpoint is sent more than it bears."""
+        """`on_overload` is called when a warming endpoint exceeds its overload threshold."""
         self._clock = clock
         self._rng = rng
         self._settings = settings
@@ -52,7 +52,7 @@
         self._offered_us = 0
 
     def ramp(self) -> float:
-        """The part of the full capacity that slow start has reached."""
+        """The fraction of the full capacity that slow start has reached."""
         age_us = self._clock.now_us() - self.started_us
         settings = self._settings
         if age_us >= settings.slow_start_us:
@@ -60,14 +60,14 @@
         return settings.initial_capacity + (1 - settings.initial_capacity) * age_us / settings.slow_start_us
 
     def capacity(self) -> float:
-        """Microseconds of work that can be done in a microsecond, now."""
+        """The current capacity, in microseconds of work per microsecond."""
         return self._settings.cores * self.ramp()
 
     def offer(self, work_us: int) -> None:
-        """Count work that is sent, whether it is accepted or not.
+        """Count offered work, whether it is accepted or not.
 
-        A warming endpoint that is sent more than the overload multiple of its present capacity, over the
-        overload window, fails.
+        A warming endpoint fails if it is offered more than the overload multiple of its current capacity
+        within the overload window.
         """
         if self.ramp() >= 1.0:
             self._offered.clear()
@@ -83,12 +83,12 @@
             self._on_overload()
 
     def draw_work_us(self, mean_us: int) -> int:
-        """Draw the work of one request: mostly about the mean, sometimes a multiple."""
+        """Draw the work of one request from a log-normal distribution around the mean."""
         return int(mean_us * self._rng.lognormvariate(WORK_FACTOR_MU, WORK_FACTOR_SIGMA))
 
     @asynccontextmanager
     async def core(self) -> AsyncIterator[None]:
-        """Hold a core; waits for one, and releases it at once on cancellation. Raises QueueFullError."""
+        """Wait for a core and hold it; cancellation releases it at once. Raises QueueFullError."""
         if self.queued >= self._settings.queue_limit:
             raise QueueFullError
         self.in_flight += 1
@@ -104,5 +104,5 @@
             self.queued -= waiting
 
     async def execute(self, work_us: int) -> None:
-        """Take as long as the work takes on one core now."""
+        """Sleep for as long as the work takes on one core at the current speed."""
         await trio.sleep(work_us / US / max(self.speed * self.ramp(), MIN_SPEED))
--- a/juniperreel/fakes/client_population.py
+++ b/juniperreel/fakes/client_population.py
@@ -1,8 +1,8 @@
-"""All fake clients of one run: sessions with causal tokens, tenants and retries, at a rate.
+"""All fake clients of one run: sessions with causal tokens, tenants and retries, at a given rate.
 
-They behave as the operators' application servers should: one request of a session at a time, the token kept,
-a rejection's retry-after followed, a retry marked, the idempotency key the same over retries, and never a
-retry where the response forbids it.
+They follow the rules for application servers: a session has one request in flight, keeps its causal token,
+honours the retry-after of a rejection, marks retries, reuses the idempotency key in them, and never retries
+if the response forbids it.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from juniperreel.rpc.limits import Limits
 from juniperreel.verification.records import LoadOffered, RecordSink
 
-MAX_SESSIONS_MULTIPLE = 40  # of the script's sessions, where all wait for responses
+MAX_SESSIONS_MULTIPLE = 40  # upper limit, relative to the sessions of the script, when all wait for responses
 SELECTION_TRIES = 20
-READ_OWN_WRITE_S = 1.0  # after a write, in which its session is likely to read it
-READ_OWN_WRITE_PART = 0.7
+READ_OWN_WRITE_S = 1.0  # for so long after a write, its session is likely to read it
+READ_OWN_WRITE_PROBABILITY = 0.7
 
 
 class ClientPopulation:
@@ -52,8 +52,8 @@
         edges: Sequence[EdgeAddress],
         mysql: MysqlTraffic | None = None,
     ) -> None:
-        """`tenants` has the part of sessions of each; `mysql` the traffic of sessions that speak MySQL."""
-        self.offered = 0  # requests that were due, ever
+        """`tenants` maps tenants to their shares of sessions; `mysql` is the traffic of MySQL sessions."""
+        self.offered = 0  # total number of requests due so far
         self.sessions: list[ClientSession] = []
         self._network = network
         self._clock = clock
@@ -77,14 +77,14 @@
             self._add_session()
 
     def on_response(self, callback: ResponseCallback) -> None:
-        """Call this with the outcome of each attempt."""
+        """Set the callback for the outcome of each attempt."""
         self._reporter.on_response = callback
 
     async def run(self, rate: float, span_us: int) -> None:
         """Send `rate` requests a second for `span_us`, then wait for the last responses.
 
-        The load is an open loop: when a request is due is drawn ahead and depends on no response; where all
-        sessions wait for one, another session joins.
+        The load is an open loop: due times are drawn in advance and do not depend on responses. If all
+        sessions wait for a response, another session is added.
         """
         due_times = self._draw_due_times(rate, span_us)
         async with trio.open_nursery() as channels:
@@ -102,7 +102,7 @@
         self._record(LoadOffered(self._clock.now_us(), self.offered))
 
     def _draw_due_times(self, rate: float, span_us: int) -> list[float]:
-        """Times of a Poisson process, in seconds from the start."""
+        """Draw the times of a Poisson process, in seconds from the start."""
         due_times = []
         at = self._rng.expovariate(rate)
         while at < span_us / US:
@@ -118,7 +118,7 @@
             await nursery.start(channel.run)
 
     def _select_session(self) -> ClientSession | None:
-        """A session that waits for no response; None where there are too many already."""
+        """An idle session, added if needed; None if the limit on sessions is reached."""
         for _ in range(SELECTION_TRIES):
             session = self._rng.choice(self.sessions)
             if not session.busy:
@@ -141,26 +141,26 @@
         return session
 
     def _select_class(self, session: ClientSession) -> TrafficClass:
-        """Draw a request's class; reads of a session's own writes come soon after a write."""
+        """Draw a request's class; soon after a write, reads of the session's own writes are more likely."""
         if session.mysql is not None:
             return self._select_mysql_class()
         selected = self._rng.choices(self._traffic, [traffic.part for traffic in self._traffic])[0]
         since_write_s = trio.current_time() - session.last_write_s
         if not selected.request_class.write and since_write_s < READ_OWN_WRITE_S:
             session_reads = [traffic for traffic in self._traffic if traffic.request_class.session]
-            if session_reads and self._rng.random() < READ_OWN_WRITE_PART:
+            if session_reads and self._rng.random() < READ_OWN_WRITE_PROBABILITY:
                 return session_reads[0]
         return selected
 
     def _select_mysql_class(self) -> TrafficClass:
-        """The edge finds the class of a MySQL statement from its text: there are two."""
+        """Draw one of the two classes that the edge derives from the text of a MySQL statement."""
         mysql = self._mysql_traffic
         assert mysql is not None
         name = mysql.write_class if self._rng.random() < mysql.write_part else mysql.read_class
         return self._rng.choice([t for t in self._traffic if t.request_class.name == name])
 
     async def _run_request(self, session: ClientSession) -> None:
-        """Send one request, and again as long as a retry is allowed and promising."""
+        """Send one request, and retry it while the last result permits."""
         traffic = self._select_class(session)
         request_class = traffic.request_class
         self._request_count += 1
--- a/juniperreel/fakes/discovery_server.py
+++ b/juniperreel/fakes/discovery_server.py
@@ -1,4 +1,4 @@
-"""The platform's discovery: endpoint lists over HTTP, as snapshots with a version."""
+"""A fake of the platform's discovery service: versioned snapshots of the endpoint list over HTTP."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DiscoveryServer:
-    """Answers a call with the complete list, once it is newer than the caller's or the wait is over."""
+    """Answers long polls with the complete list once its version changes or the wait time expires."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         self.hosts = list(hosts)
@@ -25,7 +25,7 @@
         self._mute_count = 0
 
     def mute(self) -> None:
-        """Never answer the calls that are open now, as a discovery that lost them; new ones are answered."""
+        """Never answer the calls open now, like a server that lost them; later calls are answered."""
         self._mute_count += 1
 
     async def wait_muted(self) -> None:
@@ -33,12 +33,12 @@
         await trio.sleep_forever()
 
     def update(self, *changed: dict[str, Any]) -> None:
-        """Change some of the hosts, by name."""
+        """Add or replace hosts, by name."""
         names = {host["host"] for host in changed}
         self.replace([host for host in self.hosts if host["host"] not in names] + list(changed))
 
     def replace(self, hosts: list[dict[str, Any]]) -> None:
-        """Change the whole list."""
+        """Replace the whole list and increment its version."""
         self.hosts = hosts
         self.version += 1
         self._changed.set()
@@ -85,7 +85,7 @@
         return {"seq": self.version, "whole": True, "hosts": self.hosts}
 
     def on_answer(self, hosts: list[dict[str, Any]]) -> None:
-        """Called with the list that an answer is about to contain; for subclasses."""
+        """Hook for subclasses, called with the list of each answer before it is sent."""
 
 
 def _response(http: h11.Connection, body: bytes) -> bytes:
--- a/juniperreel/fakes/endpoint.py
+++ b/juniperreel/fakes/endpoint.py
@@ -1,4 +1,4 @@
-"""A fake endpoint: a database server over its copy of a group's data, with the faults that scripts inject."""
+"""A fake endpoint: a database server with a copy of its group's data and injectable faults."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 @dataclass(slots=True)
 class EndpointFaults:
-    """Faults in force. Parts are probabilities between 0 and 1."""
+    """Active faults. Fractions are probabilities between 0 and 1."""
 
     hung: bool = False  # nothing is processed; connections stay open
     partitioned: bool = False  # from its group
-    rejecting: bool = False  # requests, while load reports pass
-    lost_responses: float = 0.0  # part of responses lost after executing
-    broken_connections: float = 0.0  # part of responses replaced by the end of the connection
-    failed_requests: float = 0.0  # part of requests that fail at once
-    clock_skew_us: int = 0  # of the clock that it reports by
+    rejecting: bool = False  # requests, but not load reports
+    lost_responses: float = 0.0  # fraction of responses lost after executing
+    broken_connections: float = 0.0  # fraction of responses replaced by a disconnect
+    failed_requests: float = 0.0  # fraction of requests that fail at once
+    clock_skew_us: int = 0  # of the clock used in its reports
 
 
 class FakeEndpoint:
-    """One database server, on ports of its own that it keeps over restarts."""
+    """A database server whose ports stay the same over restarts."""
 
     def __init__(
         self,
@@ -62,8 +62,8 @@
         self.group = group
         self.zone = zone
         self.settings = settings
-        # Without this hold, the operating system may give the port to somebody else's outgoing connection
-        # while the endpoint is down, and the endpoint cannot listen again.
+        # Unless the ports are reserved, the operating system may assign one to another process's outgoing
+        # connection while the endpoint is down, so that it cannot listen again.
         self._held_ports = [ReservedPort() for _ in range(2 if settings.mysql else 1)]
         self.port = self._held_ports[0].port
         self.mysql_port = self._held_ports[-1].port if settings.mysql else 0
@@ -121,12 +121,12 @@
                     await mysql.aclose()
 
     def release_ports(self) -> None:
-        """Give the ports back to the operating system: the endpoint will not start again."""
+        """Release the reserved ports; the endpoint will not be restarted."""
         for port in self._held_ports:
             port.close()
 
     def kill(self, cause: str = "killed") -> None:
-        """End the process at once, if it runs."""
+        """Stop the process immediately, if it is running."""
         if self.alive:
             self.alive = False
             self.claims_primary = False
@@ -145,21 +145,21 @@
         self._resumed = trio.Event()
 
     async def wait_while_hung(self) -> None:
-        """Return once the endpoint does not hang."""
+        """Return once the fault `hung` is cleared."""
         while self.faults.hung:
             await self._resumed.wait()
 
     @property
     def listed_port(self) -> int:
-        """The port that edges are given."""
+        """The port in the endpoint list."""
         return self.mysql_port if self.settings.mysql else self.port
 
     def now_us(self) -> int:
-        """The time by the endpoint's own clock, which a fault may have set wrong."""
+        """The time on the endpoint's own clock, including the skew of an injected fault."""
         return max(self._clock.now_us() + self.faults.clock_skew_us, 0)
 
     def recorded_at_us(self) -> int:
-        """The time for a record, by the recording process's clock."""
+        """The time for a record, on the recording process's clock."""
         return self._clock.now_us()
 
     def record(self, record: Record) -> None:
@@ -167,7 +167,7 @@
         self._record(record)
 
     def occurs(self, probability: float) -> bool:
-        """Draw whether a fault hits; no draw is made where its probability is 0."""
+        """Draw whether a fault occurs; nothing is drawn if its probability is 0."""
         return bool(probability) and self._rng.random() < probability
 
     def kill_connection(self, number: int) -> None:
@@ -179,7 +179,7 @@
         return self.settings.write_us if write else self.settings.read_us
 
     def replication_status(self) -> member_pb2.Standing:
-        """What the endpoint reports of its role, applied position and epochs."""
+        """The role, applied position and epochs that the endpoint reports."""
         if self.claims_primary and self.group.primary is self:
             self.replica.position = self.group.heartbeat()
             self.replica.received = self.replica.position
@@ -194,7 +194,7 @@
     def commit(
         self, statements: Sequence[Statement], idempotency_key: str, request_id: str, row: str
     ) -> ExecutedWrite:
-        """Apply a transaction and append it to the log. Raises sqlite3's errors, with nothing applied."""
+        """Apply a transaction and append it to the log. Raises sqlite3 errors, with nothing applied."""
         epoch = self.replica.epoch
         position = self.group.next_position()
         commit = Commit(epoch, position, tuple(statements), idempotency_key, request_id)
@@ -205,7 +205,7 @@
         return ExecutedWrite(position, rows)
 
     async def wait_until_replicated(self, position: int) -> None:
-        """Return once another endpoint has received a commit, where replication is synchronous."""
+        """Return once another endpoint has received the commit; at once if replication is asynchronous."""
         epoch = self.replica.epoch
         while self.settings.synchronous_replication and not self.group.is_replicated(epoch, position, self):
             await self.group.received.wait()
--- a/juniperreel/fakes/endpoint_list_server.py
+++ b/juniperreel/fakes/endpoint_list_server.py
@@ -1,4 +1,4 @@
-"""The endpoint list: a gRPC service that shows, late and sometimes wrongly, which endpoints there are."""
+"""A fake endpoint list server: a gRPC service with delayed updates and injectable faults."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
 
 
 class PendingUpdate(NamedTuple):
-    """An update that is shown once it is due."""
+    """An update that becomes visible once it is due."""
 
     due_us: int
     host: hosts_pb2.Host
 
 
 class ListVersion(NamedTuple):
-    """The version of the list. A new generation ends all watches, which start again with a snapshot."""
+    """The version of the list. A new generation ends all watches, so that edges need a new snapshot."""
 
     generation: int
     update: int
 
 
 def draw_due_us(clock: Clock, rng: random.Random, delay_us: int) -> int:
-    """When an update with a mean delay is shown."""
+    """Draw the time at which an update with this mean delay becomes visible."""
     return clock.now_us() + int(delay_us * rng.uniform(0.6, 1.4))
 
 
 class EndpointListServer:
-    """Shows the endpoints that were published, each after a delay."""
+    """Serves the published endpoints, each after a delay."""
 
     def __init__(
         self, network: Network, clock: Clock, rng: random.Random, record: RecordSink, delay_us: int
     ) -> None:
         self.port = 0
-        self.frozen = False  # updates are not shown
+        self.frozen = False  # updates stay pending
         self._empty = False
         self._network = network
         self._clock = clock
@@ -79,26 +79,26 @@
             task_status.started()
 
     def publish(self, host: hosts_pb2.Host, delay_us: int | None = None) -> None:
-        """Show an endpoint's state after a delay; None stands for the list's own."""
+        """Publish an endpoint's state after a mean delay; None selects the list's default."""
         delay_us = self._delay_us if delay_us is None else delay_us
         self._pending.append(PendingUpdate(draw_due_us(self._clock, self._rng, delay_us), host))
 
     def endpoint_names(self) -> list[str]:
-        """All endpoints that are shown, hidden ones included."""
+        """All published endpoints that are not gone, including hidden ones."""
         return [name for name, host in self._published.items() if _is_present(host)]
 
     def hide(self, names: set[str]) -> None:
-        """Omit these endpoints, and no others, from now on, though they run."""
+        """Omit exactly these endpoints from the list from now on, although they are running."""
         self._hidden = names
         self._notify()
 
     def end_watches(self) -> None:
-        """End all watches; edges start them again with a snapshot."""
+        """End all watches; edges reconnect and receive a snapshot."""
         self._version = ListVersion(self._version.generation + 1, self._version.update)
         self._changed.wake()
 
     def set_empty(self, empty: bool) -> None:
-        """Show no endpoints at all, or show them again."""
+        """Serve an empty list, or the published endpoints again."""
         self._empty = empty
         self.end_watches()
 
@@ -145,7 +145,7 @@
             self._watches -= 1
 
     async def _send_updates(self, call: Call, edge: str) -> None:
-        """Send a snapshot, then a delta for each change. Raises RpcError when a new generation begins."""
+        """Send a snapshot, then a delta for each change. Raises RpcError when the generation changes."""
         version = self._version
         sent = {host.id: host for host in self._snapshot()}
         self._record_listed(edge, list(sent.values()), complete=True)
@@ -164,9 +164,9 @@
                 await call.send(hosts_pb2.WatchResponse(hosts=delta).SerializeToString())
 
     def _record_listed(self, edge: str, hosts: list[hosts_pb2.Host], complete: bool) -> None:
-        """Record what is sent.
+        """Record the endpoints of a message to an edge.
 
-        What a snapshot does not contain is removed; an empty one is a fault, and removes nothing.
+        Endpoints missing from a snapshot are removed. An empty snapshot is a fault and removes none.
         """
         now = self._clock.now_us()
         for host in hosts:
@@ -182,7 +182,7 @@
 
 
 def _delta(before: dict[str, hosts_pb2.Host], now: dict[str, hosts_pb2.Host]) -> list[hosts_pb2.Host]:
-    """The endpoints that changed; those that are not there any more are removed."""
+    """The endpoints that changed; those no longer present are included as gone."""
     delta = [host for host in now.values() if before.get(host.id) != host]
     for name in before.keys() - now.keys():
         removed = hosts_pb2.Host()
--- a/juniperreel/fakes/errors.py
+++ b/juniperreel/fakes/errors.py
@@ -8,11 +8,11 @@
 
 
 class StatementError(FakesError):
-    """A statement cannot be executed, whoever executes it."""
+    """A statement is invalid and cannot be executed by any endpoint."""
 
 
 class QueueFullError(FakesError):
-    """An endpoint's queue for its cores accepts no more requests."""
+    """The queue for an endpoint's cores is full."""
 
 
 class MysqlError(FakesError):
@@ -29,13 +29,13 @@
     """A fault names a target that does not exist."""
 
     def __init__(self, target: str) -> None:
-        super().__init__(f"nobody is called {target!r}")
+        super().__init__(f"unknown fault target {target!r}")
         self.target = target
 
 
 class PartEndedError(FakesError, RuntimeError):
-    """A process that runs some of a fleet's groups ended too early."""
+    """A process that runs some of a fleet's groups exited prematurely."""
 
     def __init__(self, part: int) -> None:
-        super().__init__(f"part {part} of the stand-ins ended")
+        super().__init__(f"process of fleet part {part} exited unexpectedly")
         self.part = part
--- a/juniperreel/fakes/fault_injector.py
+++ b/juniperreel/fakes/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a script into a fleet, and clears them when their time is over."""
+"""Injects the faults of a script into a fleet, and clears them when they expire."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     from juniperreel.fakes.endpoint import FakeEndpoint
     from juniperreel.fakes.fleet import EdgeFaultHandler, Fleet
 
-PRIMARY_HANDOVER_S = 0.4  # until a draining primary is replaced
-DRAIN_S = 5.0  # until the process of a draining endpoint ends
+PRIMARY_HANDOVER_S = 0.4  # from the start of draining until a primary is replaced
+DRAIN_S = 5.0  # from then until the process of a draining endpoint ends
 FLAP_INTERVAL_S = 0.5
-FLAP_DIVISOR = 4  # of the listed endpoints, one in so many is hidden
-OUTSIDE_PREFIXES = ("edge-", "instance-", "link-")
+FLAP_DIVISOR = 4  # one in this many of the listed endpoints is hidden
+EXTERNAL_FAULT_PREFIXES = ("edge-", "instance-", "link-")
 LIST_FAULTS = ("freeze", "empty", "flap")
 
 
 class FaultInjector:
-    """Carries out the steps of a fleet's script. Draws come from the fleet's random source."""
+    """Executes the steps of a fleet's script. Random choices use the fleet's generator."""
 
     def __init__(self, fleet: Fleet, on_edge_fault: EdgeFaultHandler) -> None:
         self._fleet = fleet
         self._on_edge_fault = on_edge_fault
 
     async def play(self) -> None:
-        """Carry out every step at its time, from now on."""
+        """Execute every step of the script at its time, counted from now."""
         start = trio.current_time()
         async with trio.open_nursery() as nursery:
             for step in self._fleet.script.steps:
@@ -40,9 +40,9 @@
                 nursery.start_soon(self.carry_out, step)
 
     async def carry_out(self, step: Step) -> None:
-        """Inject one fault and, where it ends by itself, clear it. Raises UnknownTargetError."""
+        """Inject one fault and, if it is limited in time, clear it. Raises UnknownTargetError."""
         self._record(step, active=True)
-        if step.fault.startswith(OUTSIDE_PREFIXES):
+        if step.fault.startswith(EXTERNAL_FAULT_PREFIXES):
             await self._on_edge_fault(step)
         elif step.fault in LIST_FAULTS:
             await self._inject_list_fault(step)
@@ -83,7 +83,7 @@
             self._fleet.publish(endpoint, hosts_pb2.READINESS_UP)
 
     async def _drain(self, endpoint: FakeEndpoint) -> None:
-        """Shut an endpoint down gracefully; a primary is replaced first."""
+        """Shut an endpoint down gracefully, after replacing it as primary."""
         group = endpoint.group
         endpoint.draining = True
         self._fleet.publish(endpoint, hosts_pb2.READINESS_DRAINING)
@@ -96,7 +96,7 @@
         self._fleet.publish(endpoint, hosts_pb2.READINESS_GONE)
 
     async def _roll(self, step: Step) -> None:
-        """Replace endpoints one after another: a successor starts, then the old one drains."""
+        """Rolling replacement: start a successor of each endpoint in turn, then drain the old one."""
         async with trio.open_nursery() as nursery:
             for endpoint in self._fleet.targets(step.target):
                 successor = await self._fleet.add_endpoint(endpoint.group, warming_up=True)
@@ -105,7 +105,7 @@
                 nursery.start_soon(self._drain, endpoint)
 
     async def _elect_second_primary(self, step: Step) -> None:
-        """Elect although the primary lives, and let the old one keep claiming the role."""
+        """Elect a new primary while the old one is alive and continues to claim the role."""
         for group in self._fleet.groups:
             if step.target == f"g{group.number}" and group.primary is not None:
                 former = group.primary
@@ -130,7 +130,7 @@
             await self._flap_list(step.for_us)
 
     async def _flap_list(self, for_us: int) -> None:
-        """Hide some endpoints from the list and show them again, over and over."""
+        """Repeatedly hide some endpoints from the list and show them again."""
         endpoint_list = self._fleet.endpoint_list
         end = trio.current_time() + for_us / US
         while trio.current_time() < end:
@@ -142,7 +142,7 @@
 
 
 def _set_fault(endpoint: FakeEndpoint, fault: str, active: bool, value: float) -> None:
-    """Inject a fault into an endpoint, or clear it: then `value` is 0."""
+    """Inject a fault into an endpoint, or clear it, with a `value` of 0."""
     match fault:
         case "hang":
             _set_hung(endpoint, active)
--- a/juniperreel/fakes/fleet.py
+++ b/juniperreel/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of one run: replication groups of fake endpoints, and the endpoint list that edges watch."""
+"""The fleet of one run: replication groups of fake endpoints, and the endpoint list watched by edges."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from juniperreel.proto.hosts.v1 import hosts_pb2
 from juniperreel.verification.records import RecordSink
 
-DETECTION_S = 1.2  # of a failed primary
+DETECTION_S = 1.2  # mean time to detect a failed primary
 ELECTION_S = 1.0
 STARTUP_S = 0.2
 PRIMARY_CHECK_INTERVAL_S = 0.1
@@ -29,7 +29,7 @@
 
 
 class EndpointListPublisher(Protocol):
-    """Whoever is notified of endpoints: the endpoint list, or a relay to it."""
+    """Receiver of endpoint updates: the endpoint list server, or a relay to it."""
 
     port: int
     frozen: bool
@@ -39,19 +39,19 @@
         ...
 
     def publish(self, host: hosts_pb2.Host, delay_us: int | None = None) -> None:
-        """Show an endpoint's state after a delay; None stands for the list's own."""
+        """Publish an endpoint's state after a mean delay; None selects the list's default."""
         ...
 
     def endpoint_names(self) -> list[str]:
-        """The endpoints that are shown."""
+        """The endpoints that are published."""
         ...
 
     def hide(self, names: set[str]) -> None:
-        """Omit these endpoints, and no others, from now on."""
+        """Omit exactly these endpoints from the list from now on."""
         ...
 
     def set_empty(self, empty: bool) -> None:
-        """Show no endpoints at all, or show them again."""
+        """Serve an empty list, or the published endpoints again."""
         ...
 
 
@@ -68,10 +68,10 @@
         endpoint_list: EndpointListPublisher | None = None,
         platform: bool = False,
     ) -> None:
-        """Prepare the script's groups, or only some where other processes run the rest.
+        """Create the script's groups, or only some of them if other processes run the rest.
 
-        `endpoint_list` takes the place of an endpoint list of the fleet's own. With `platform`, endpoints
-        speak the platform's protocol.
+        `endpoint_list` replaces the default endpoint list server. With `platform`, endpoints speak the
+        platform's protocol.
         """
         self.script = script
         self.clock = clock
@@ -90,7 +90,7 @@
         self.endpoints: dict[str, FakeEndpoint] = {}
         self._network = network
         self._nursery: trio.Nursery | None = None
-        self._created = 0  # endpoints, ever
+        self._created = 0  # total number of endpoints created
         self._listed_primaries: dict[int, str] = {}  # by group
 
     def _create_group(self, number: int, streaming: bool) -> ReplicationGroup:
@@ -120,7 +120,7 @@
                 endpoint.release_ports()
 
     async def add_endpoint(self, group: ReplicationGroup, warming_up: bool) -> FakeEndpoint:
-        """Create an endpoint in a group and start it."""
+        """Add an endpoint to a group and start it."""
         name = f"g{group.number}-m{self._created}"
         zone = self._created % ZONES
         seed = self.rng.getrandbits(32)
@@ -134,14 +134,14 @@
         return endpoint
 
     async def start_endpoint(self, endpoint: FakeEndpoint, warming_up: bool) -> None:
-        """Start an endpoint's process, also after it ended."""
+        """Start or restart an endpoint's process."""
         assert self._nursery is not None
         await self._nursery.start(endpoint.run, warming_up)
 
     def publish(
         self, endpoint: FakeEndpoint, readiness: hosts_pb2.Readiness, delay_us: int | None = None
     ) -> None:
-        """Notify the endpoint list of an endpoint's state."""
+        """Publish an endpoint's state to the endpoint list."""
         group = endpoint.group.number
         host = hosts_pb2.Host(
             id=endpoint.name,
@@ -157,7 +157,7 @@
         self.endpoint_list.publish(host, delay_us)
 
     async def _publish_primaries(self) -> None:
-        """Notify the list of new primaries, later than of anything else."""
+        """Publish new primaries, with a longer delay than other updates."""
         while True:
             await trio.sleep(PRIMARY_CHECK_INTERVAL_S)
             for group in self.groups:
@@ -173,7 +173,7 @@
                         self.publish(endpoint, readiness, self.script["primary-delay"])
 
     def targets(self, target: str) -> list[FakeEndpoint]:
-        """The endpoints that a target names now. Raises UnknownTargetError for one that names none."""
+        """The endpoints that a target selects now. Raises UnknownTargetError."""
         alive = [endpoint for endpoint in self.endpoints.values() if endpoint.alive]
         if target == "all":
             return alive
@@ -189,11 +189,11 @@
             if name == f"g{group.number}":
                 return self._targets_in(group, which)
         if name in {f"g{number}" for number in range(self.script["groups"])}:
-            return []  # another process runs the group
+            return []  # the group is run by another process
         raise UnknownTargetError(target)
 
     def _targets_in(self, group: ReplicationGroup, which: str) -> list[FakeEndpoint]:
-        """The endpoints of a group by role or number; all that run where neither is given."""
+        """The endpoints of a group by role or index, or all running ones if neither is given."""
         if which == "primary":
             return [group.primary] if group.primary is not None else []
         if which == "replica":
@@ -204,7 +204,7 @@
         return [endpoint for endpoint in group.endpoints if endpoint.alive]
 
     async def play(self, on_edge_fault: EdgeFaultHandler) -> None:
-        """Inject every fault of the script at its time, from now on; those of edges go to the handler."""
+        """Inject every fault of the script at its time; the handler receives those outside the fleet."""
         await FaultInjector(self, on_edge_fault).play()
 
 
--- a/juniperreel/fakes/fleet_processes.py
+++ b/juniperreel/fakes/fleet_processes.py
@@ -1,10 +1,9 @@
-"""A fleet in several processes: each runs some of the groups, the first one the endpoint list as well.
+"""A fleet in several processes: the first serves the endpoint list, the others run the groups.
 
     python -m juniperreel.fakes.fleet_processes SCRIPT PART OF [RECORD]
 
-runs the groups of one part and prints what the endpoint list is to show, a line of JSON each. A script's
-endpoints are the same wherever they run; the draws they make are not, since each part draws from its own
-random source.
+runs the groups of one part and prints the updates for the endpoint list as JSON Lines. A script's endpoints
+do not depend on the number of parts; their random choices do, because each part has its own generator.
 """
 
 from __future__ import annotations
@@ -34,26 +33,26 @@
 STARTUP_CHECK_INTERVAL_S = 0.02
 SHUTDOWN_TIMEOUT_S = 5
 STDOUT = 1
-SEED_STRIDE = 1000  # between the seeds of parts
-OUTSIDE_PREFIXES = ("edge-", "instance-")
+SEED_STRIDE = 1000  # multiplier of the script's seed, to which the number of a part is added
+EXTERNAL_FAULT_PREFIXES = ("edge-", "instance-")
 LIST_TARGET = "list"
 
 
 class PublishedHost(msgspec.Struct):
-    """A host message as a part prints it; `delay_us` is None where the list's own delay holds."""
+    """A host update printed by a part; `delay_us` is None for the list's default delay."""
 
     host: str
     delay_us: int | None
 
 
 class EndpointListRelay:
-    """Stands for the endpoint list in a part: prints what is published to it."""
+    """Replaces the endpoint list server in a part: prints the updates that are published to it."""
 
     port = 0
     frozen = False
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Start at once; there is nothing to serve."""
+        """Report as started; there is nothing to serve."""
         await trio.lowlevel.checkpoint()
         task_status.started()
 
@@ -63,7 +62,7 @@
         os.write(STDOUT, msgspec.json.encode(published) + b"\n")
 
     def endpoint_names(self) -> list[str]:
-        """None: faults of the list are injected where it is served."""
+        """Return no names: list faults are injected in the process that serves the list."""
         return []
 
     def hide(self, names: set[str]) -> None:
@@ -74,8 +73,8 @@
 
 
 def select_steps(script: Script, list_faults: bool) -> list[Step]:
-    """The faults of the list, or all others but those of edges and instances."""
-    steps = [step for step in script.steps if not step.fault.startswith(OUTSIDE_PREFIXES)]
+    """The faults of the endpoint list, or else those of endpoints; never those of edges and instances."""
+    steps = [step for step in script.steps if not step.fault.startswith(EXTERNAL_FAULT_PREFIXES)]
     return [step for step in steps if (step.target == LIST_TARGET) == list_faults]
 
 
@@ -85,7 +84,7 @@
 
 
 async def run_part(script: Script, part: int, parts: int, record: Recorder) -> None:
-    """Run the groups of one part for the length of the script."""
+    """Run the groups of one part for the duration of the script."""
     own = replace(script, steps=select_steps(script, list_faults=False))
     own.settings = script.settings | {"seed": script["seed"] * SEED_STRIDE + part}
     groups = groups_of_part(script, part, parts)
@@ -98,11 +97,11 @@
 
 
 async def ignore_edge_fault(step: Step) -> None:
-    """Handle a fault of an edge where another process runs the edges."""
+    """Ignore a fault of an edge: edges run in another process."""
 
 
 class FleetProcesses:
-    """Serves the endpoint list here, and runs the groups in processes of their own."""
+    """Serves the endpoint list in this process and runs the groups in child processes."""
 
     def __init__(self, path: Path, script: Script, port: int, parts: int, record: Path | None) -> None:
         self.script = script
@@ -116,7 +115,7 @@
         self.endpoints: set[str] = set()
 
     async def run(self, report: Callable[[str], None]) -> None:
-        """Run for the length of the script. Raises PartEndedError if a part ends before."""
+        """Run for the duration of the script. Raises PartEndedError if a part exits before its end."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.fleet.run)
             for part in range(self.parts):
@@ -158,12 +157,12 @@
 
 
 def main() -> None:
-    """Run one part, as the command line says."""
+    """Run the part given on the command line."""
     path, part, parts, *record = sys.argv[1:]
     script = parse(Path(path).read_text(encoding="utf-8"))
     with ExitStack() as stack:
         file = stack.enter_context(Path(record[0]).open("wb")) if record else None
-        # An interrupt reaches the whole process group; the first process reports it.
+        # SIGINT is sent to the whole process group; the parent process reports it.
         stack.enter_context(suppress(KeyboardInterrupt))
         trio.run(run_part, script, int(part), int(parts), Recorder(file))
 
--- a/juniperreel/fakes/grpc_clients.py
+++ b/juniperreel/fakes/grpc_clients.py
@@ -1,4 +1,4 @@
-"""Attempts of fake clients over gRPC."""
+"""The gRPC transport of fake clients."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
         channels: Sequence[Channel],
         reporter: AttemptReporter,
     ) -> None:
-        """`channels` has the channel to each edge, in the edges' order."""
+        """`channels` has one channel for each edge, in the same order."""
         self._rng = rng
         self._edges = edges
         self._channels = channels
         self._reporter = reporter
 
     async def attempt(self, session: ClientSession, request: ClientRequest, number: int) -> float | None:
-        """Send a request once; returns the seconds to wait before a retry, None where there is to be none."""
+        """Send a request once; returns the seconds to wait before a retry, or None if there is to be none."""
         await self._find_edge(session)
         timeout_us = int(request.traffic.deadline_us * self._rng.uniform(0.6, 1.0))
         edge = session.edge
@@ -66,7 +66,7 @@
             result.status = Code.DEADLINE_EXCEEDED
             result.local = True
         except (ConnectError, CallUnprocessedError, CallInterruptedError) as error:
-            # The edge died. What was in flight there is for the client to send again, to another edge.
+            # The edge is down. The client must retry its requests in flight at another edge.
             result.status = Code.UNAVAILABLE
             result.local = True
             session.edge = (session.edge + 1) % len(self._edges)
@@ -83,8 +83,8 @@
     async def _find_edge(self, session: ClientSession) -> None:
         """Move the session to an edge that accepts connections.
 
-        What was never sent is not recorded as a request: a channel that backs off after an edge's death says
-        nothing of the edge that has come back meanwhile.
+        This happens before the request is recorded, because a failed connection sends nothing: a channel in
+        backoff after a crash of its edge says nothing about an edge that has restarted since.
         """
         for _ in range(2 * len(self._edges)):
             try:
--- a/juniperreel/fakes/grpc_service.py
+++ b/juniperreel/fakes/grpc_service.py
@@ -1,4 +1,4 @@
-"""The gRPC side of a fake endpoint: requests of edges, and load reports."""
+"""The gRPC service of a fake endpoint: requests from edges, and load reports."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CachedReport(NamedTuple):
-    """A load report and when it was made."""
+    """A load report and the time of its creation."""
 
     at_us: int
     report: member_pb2.ReportResponse
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Execution:
-    """One attempt that is being executed."""
+    """An attempt in execution."""
 
     request: member_pb2.ExecuteRequest
     statement: str
@@ -54,7 +54,7 @@
         self._writes_in_progress: dict[str, trio.Event] = {}  # by idempotency key
 
     def methods(self) -> dict[str, Method]:
-        """The service's methods, for a server."""
+        """The handlers of the service, by method path."""
         return {
             "/juniperreel.member.v1.Member/Execute": Method(unary=self._execute),
             "/juniperreel.member.v1.Member/Report": Method(unary=self._report),
@@ -62,7 +62,7 @@
         }
 
     def reset(self) -> None:
-        """Forget the writes in progress of a process that ended."""
+        """Discard the writes in progress, when the process restarts."""
         self._writes_in_progress = {}
 
     async def _replicate(self, call: Call) -> None:
@@ -71,7 +71,7 @@
     async def _report(self, _call: Call, _data: bytes) -> bytes:
         await self._endpoint.wait_while_hung()
         now = self._endpoint.recorded_at_us()
-        if now - self._cached_report.at_us > REPORT_INTERVAL_US:  # reports are as old as their last refresh
+        if now - self._cached_report.at_us > REPORT_INTERVAL_US:  # reports are stale between refreshes
             capacity = self._endpoint.capacity
             report = member_pb2.ReportResponse(
                 standing=self._endpoint.replication_status(),
@@ -171,7 +171,7 @@
             return response
 
     def _check_positions(self, request: member_pb2.ExecuteRequest) -> None:
-        """Raise RpcError where this replica has not applied what the read must contain."""
+        """Raise RpcError if this replica has not applied the positions that the read requires."""
         status = self._endpoint.replication_status()
         behind = status.position < max(request.floor, request.oldest)
         for needed in request.needed:
@@ -214,5 +214,5 @@
 
 
 def not_executed(reason: str, text: str, code: Code = Code.FAILED_PRECONDITION) -> RpcError:
-    """An error response that says that the request had no effect."""
+    """An error response which states that the request was not executed."""
     return RpcError(code, text, [error_info(reason, ERROR_DOMAIN)])
--- a/juniperreel/fakes/minimal_endpoint.py
+++ b/juniperreel/fakes/minimal_endpoint.py
@@ -1,6 +1,6 @@
-"""An endpoint of the platform without time, load or faults: tests inject these byte by byte.
+"""A minimal endpoint of the platform without latency, load or faults: tests inject these byte by byte.
 
-It answers every statement in the platform's form with its key, or with what was written.
+It answers each request with the statement's key or, for a write, with the value that was written.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class MinimalEndpoint:
-    """`received` holds every statement that came, in order."""
+    """A server whose `received` lists the text of every statement, in order."""
 
     def __init__(self, primary: bool) -> None:
         self.primary = primary
--- a/juniperreel/fakes/mysql_client.py
+++ b/juniperreel/fakes/mysql_client.py
@@ -1,7 +1,7 @@
-"""A client of MySQL's protocol, as small as fake clients need: login, single statements, text results.
+"""A minimal client for MySQL's protocol, for fake clients: login, single statements, text results.
 
-Written from MySQL's public documentation and apart from the edge's own implementation of it, so that each
-proves the other.
+Written from MySQL's public documentation, independently of the edge's implementation, so that each validates
+the other.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class MysqlConnectionError(FakesError):
-    """The connection broke. `sent` says whether a statement may have reached the server."""
+    """The connection failed. `sent` is true if a statement may have reached the server."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -60,14 +60,14 @@
 
 
 class LengthEncodedInteger(NamedTuple):
-    """An integer, None for NULL, and the offset behind it."""
+    """A decoded integer, None for NULL, and the offset of the next byte."""
 
     value: int | None
     end: int
 
 
 class MysqlClient:
-    """One connection, opened by the first statement."""
+    """One connection, opened on the first statement."""
 
     def __init__(self, network: Network, port: int, user: str, password: bytes) -> None:
         self.port = port
@@ -88,11 +88,11 @@
     async def query(self, text: str) -> QueryResult | QueryError:
         """Execute one statement.
 
-        Raises MysqlConnectionError, or net's ConnectError where nobody listens. On cancellation the
-        connection is closed.
+        Raises MysqlConnectionError, or ConnectError if no server listens on the port. Cancellation closes the
+        connection.
         """
         if self._stream is not None and is_readable(self._stream):
-            await self.close()  # the server ended it while no statement was executed
+            await self.close()  # the server closed it while it was idle
         if self._stream is None:
             await self._login()
         try:
@@ -103,7 +103,7 @@
             with trio.CancelScope(shield=True):
                 await self.close()
             if isinstance(error, (*CONNECTION_ERRORS, IndexError)):
-                raise MysqlConnectionError(f"the connection broke: {error}", sent=True) from error
+                raise MysqlConnectionError(f"connection lost: {error}", sent=True) from error
             raise
 
     async def _login(self) -> None:
@@ -115,13 +115,13 @@
             with trio.CancelScope(shield=True):
                 await self.close()
             if isinstance(error, (*CONNECTION_ERRORS, IndexError, ValueError)):
-                raise MysqlConnectionError(f"no login: {error}", sent=False) from error
+                raise MysqlConnectionError(f"login failed: {error}", sent=False) from error
             raise
 
     async def _authenticate(self) -> None:
         greeting = await self._receive_packet()
         if greeting[0] == ERROR_HEADER:
-            raise MysqlConnectionError(f"refused: {greeting[3:]!r}", sent=False)
+            raise MysqlConnectionError(f"connection rejected: {greeting[3:]!r}", sent=False)
         await self._send(
             CAPABILITIES.to_bytes(4, "little")
             + MAX_PACKET.to_bytes(4, "little")
@@ -136,10 +136,10 @@
         )
         answer = await self._receive_packet()
         if answer[0] != OK_HEADER:
-            raise MysqlConnectionError(f"not let in: {answer[:80]!r}", sent=False)
+            raise MysqlConnectionError(f"authentication failed: {answer[:80]!r}", sent=False)
 
     def _scramble(self, nonce: bytes) -> bytes:
-        """The proof of the password that mysql_native_password asks for."""
+        """The authentication response of mysql_native_password."""
         once = hashlib.sha1(self._password, usedforsecurity=False).digest()
         twice = hashlib.sha1(once, usedforsecurity=False).digest()
         mask = hashlib.sha1(nonce + twice, usedforsecurity=False).digest()
@@ -174,7 +174,7 @@
         if first[0] == OK_HEADER:
             return QueryResult(affected=decode_length(first, 1).value or 0)
         column_count = first[0]
-        for _ in range(column_count + 1):  # definitions, and the packet that ends them
+        for _ in range(column_count + 1):  # column definitions and the EOF packet
             await self._receive_packet()
         rows: list[list[str | None]] = []
         while True:
@@ -187,7 +187,7 @@
 
 
 def _nonce(greeting: bytes) -> bytes:
-    """The server's nonce: it lies in two parts behind the version and the connection's number."""
+    """The server's nonce, in two parts after the server version and the connection ID."""
     start = greeting.index(0, 1) + 5
     first = greeting[start : start + NONCE_FIRST_BYTES]
     start += NONCE_FIRST_BYTES + 1 + 2 + 1 + 2 + 2 + 1 + 10
@@ -212,7 +212,7 @@
 
 
 def is_readable(stream: trio.abc.Stream) -> bool:
-    """Whether something can be read though nothing was sent: the end, or the reason for it."""
+    """Whether an idle connection has data to read: the end of the stream, or an error before it."""
     return isinstance(stream, trio.SocketStream) and bool(select([stream.socket], [], [], 0)[0])
 
 
--- a/juniperreel/fakes/mysql_clients.py
+++ b/juniperreel/fakes/mysql_clients.py
@@ -1,7 +1,8 @@
-"""Attempts of fake clients over MySQL's protocol, a connection for each session.
+"""The MySQL transport of fake clients, with one connection for each session.
 
-The connection keeps the session's causal token; after a write the client reads the token, to present it to
-another edge if this one dies. There is no idempotency key: a write that may have run is not sent again.
+The edge keeps the session's causal token with the connection. The client reads the token after each write,
+to present it to another edge if this one fails. There are no idempotency keys, so that a write that may have
+been executed is not retried.
 """
 
 from __future__ import annotations
@@ -34,20 +35,20 @@
     3024: Code.DEADLINE_EXCEEDED,
 }
 RETRY_AFTER = re.compile(r"again after (\d+) ms")
-DEADLINE_MARGIN_US = 500_000  # the edge answers at its class's deadline; clients there cannot name their own
-TOKEN_TIMEOUT_S = 3.0  # for a token to be read or presented
+DEADLINE_MARGIN_US = 500_000  # the edge answers by the deadline of the class; clients cannot set their own
+TOKEN_TIMEOUT_S = 3.0  # for reading or presenting a token
 RECONNECT_DELAY_S = (0.1, 0.5)  # before a retry after a broken connection
 
 
 class StatementsResult(NamedTuple):
-    """The last statement's result, or the first error; `complete` if it is the last statement's."""
+    """The first error, or the last statement's result; `complete` if the last statement was executed."""
 
     result: QueryResult | QueryError
     complete: bool
 
 
 class MysqlTransport:
-    """Sends requests as statements with their values in them."""
+    """Sends requests as text statements with literal values."""
 
     def __init__(
         self,
@@ -62,19 +63,19 @@
         self._edges = edges
         self._traffic = traffic
         self._reporter = reporter
-        self._renamed = 0  # sessions, ever
+        self._rename_count = 0  # total number of sessions renamed
 
     def open_client(self, edge: int) -> MysqlClient:
-        """A client for the edge of this index."""
+        """Create a client for the edge with this index."""
         traffic = self._traffic
         return MysqlClient(self._network, traffic.ports[edge], traffic.user, traffic.password)
 
     async def attempt(self, session: ClientSession, request: ClientRequest, number: int) -> float | None:
-        """Send a request once; returns the seconds to wait before a retry, None where there is to be none."""
+        """Send a request once; returns the seconds to wait before a retry, or None if there is to be none."""
         client = session.mysql
         assert client is not None
         statements = self._statements(request)
-        # Each statement has its class's deadline, and an answer by then.
+        # The edge answers each statement by the deadline of its class.
         timeout_us = len(statements) * request.traffic.deadline_us + DEADLINE_MARGIN_US
         edge = self._edges[session.edge].name
         sent_at_us = self._reporter.record_sent(session, request, number, edge, timeout_us)
@@ -101,7 +102,7 @@
         return result.retry_delay_s
 
     def _statements(self, request: ClientRequest) -> list[str]:
-        """The statement of a request, for some writes within a transaction."""
+        """The statements of a request; some writes are sent as transactions."""
         text = f"{request.statement} /* group {request.group} */"
         for value in request.values:
             text = text.replace("?", f"'{value}'", 1)
@@ -117,7 +118,7 @@
             return
         result.status = STATUSES.get(response.code, Code.INVALID_ARGUMENT)
         if not executed.complete and result.status in (Code.UNKNOWN, Code.DEADLINE_EXCEEDED):
-            result.status = Code.UNAVAILABLE  # nothing was committed, whatever was executed
+            result.status = Code.UNAVAILABLE  # the transaction was not committed, so that a retry is safe
         if result.status is Code.UNAVAILABLE:
             retry_after = RETRY_AFTER.search(response.message)
             result.retry_after_us = int(retry_after[1]) * 1000 if retry_after else 0
@@ -137,8 +138,8 @@
     async def _move_to_next_edge(self, session: ClientSession, token_lost: bool = False) -> None:
         """Connect to the next edge and present the token there.
 
-        A session whose token was lost with a connection is another session from then on: no edge could
-        promise it what it wrote.
+        If the token was lost with the connection, the session gets a new name: no edge can guarantee that it
+        reads its earlier writes.
         """
         assert session.mysql is not None
         await session.mysql.close()
@@ -148,9 +149,9 @@
             if await self._present_token(session, session.mysql):
                 return
             await session.mysql.close()
-        self._renamed += 1
+        self._rename_count += 1
         original_name = session.name.split("+")[0]
-        session.name = f"{original_name}+{self._renamed}"
+        session.name = f"{original_name}+{self._rename_count}"
         session.causal_token = b""
 
     @staticmethod
@@ -164,7 +165,7 @@
 
 
 async def _execute(client: MysqlClient, statements: Sequence[str]) -> StatementsResult:
-    """Execute statements up to the first error, and roll back after it."""
+    """Execute statements in order; roll back and stop at the first error before the last one."""
     *earlier, last = statements
     for text in earlier:
         result = await client.query(text)
--- a/juniperreel/fakes/mysql_columns.py
+++ b/juniperreel/fakes/mysql_columns.py
@@ -1,4 +1,4 @@
-"""Column types of results whose values come from SQLite, which has none."""
+"""Column types for results from SQLite, whose result columns have no declared types."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def describe_columns(names: Sequence[str], rows: Sequence[Sequence[Any]]) -> list[Column]:
-    """Columns of the type that their values have in common, text where these differ."""
+    """Columns with the common type of their values, or text if the types differ."""
     columns = []
     for index, name in enumerate(names):
         value_types = {type(row[index]) for row in rows if row[index] is not None}
@@ -30,7 +30,7 @@
 
 
 def convert(column: Column, value: Value) -> Value:
-    """The value in its column's type, which was found from earlier rows."""
+    """Convert a value to its column's type, which was derived from earlier rows."""
     if column.charset >= 0 or value is None or column.type in (ColumnType.VAR_STRING, ColumnType.BLOB):
         return value
     return int(value) if column.type == ColumnType.LONGLONG else float(value)
--- a/juniperreel/fakes/mysql_connection.py
+++ b/juniperreel/fakes/mysql_connection.py
@@ -1,6 +1,6 @@
 """One MySQL connection of a fake endpoint: commands and results, with the endpoint's faults.
 
-As MySQL's servers do, it goes on with a statement whose client has disconnected: what was begun takes effect.
+Like a MySQL server, it continues to execute a statement whose client has disconnected, which may take effect.
 """
 
 from __future__ import annotations
@@ -46,21 +46,21 @@
 
 
 class ReceivedData(NamedTuple):
-    """Bytes that the client sent, and when they were read; none at the end of the connection."""
+    """Bytes from the client and the time of reading them; empty at the end of the stream."""
 
     at_us: int
     data: bytes
 
 
 class RunningAttempt(NamedTuple):
-    """The attempt that a connection executes."""
+    """The attempt that a connection is executing."""
 
     edge_request_id: str
     number: int
 
 
 class MysqlConnection:
-    """One connection: reads commands, executes them in order, sends their results."""
+    """A connection that reads commands, executes them in order and sends their results."""
 
     def __init__(
         self, endpoint: FakeEndpoint, server: MysqlServer, session: ServerSession, stream: trio.abc.Stream
@@ -72,12 +72,12 @@
         self.engine = MysqlEngine(endpoint)
         self._prepared: dict[int, PreparedStatement] = {}
         self._last_prepared = 0
-        self._received_at_us = 0  # of the command that is being executed
+        self._received_at_us = 0  # when the current command was read
         self._attempt: RunningAttempt | None = None
         self._closed_at_us = 0  # when the client closed the connection
 
     async def run(self) -> None:
-        """Serve the connection until its end."""
+        """Serve the connection until it is closed."""
         send, receive = trio.open_memory_channel[ReceivedData](PENDING_READS)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, send)
@@ -86,9 +86,9 @@
             nursery.cancel_scope.cancel()
 
     async def _read(self, send: trio.MemorySendChannel[ReceivedData]) -> None:
-        """Read what the client sends, and note when: also while the endpoint hangs, edges send to it.
+        """Read from the client and note the times, also while the endpoint hangs.
 
-        A client that disconnects ends no statement; it is only recorded.
+        A disconnect is recorded, but does not cancel the running statement.
         """
         while True:
             try:
@@ -106,7 +106,7 @@
     def _record_abandoned(self) -> None:
         """Record the running attempt as abandoned if the client has disconnected.
 
-        Also of an attempt that an endpoint begins after a hang, when its client disconnected long ago.
+        This includes attempts that start after a hang, when the client has already disconnected.
         """
         if self._attempt is not None and self._closed_at_us:
             abandoned = AttemptAbandoned(self._closed_at_us, self._endpoint.name, *self._attempt)
@@ -198,7 +198,7 @@
     def _bind(self, packet: Cursor) -> BoundStatement:
         number = packet.integer(4)
         flags = packet.integer(1)
-        packet.take(4)  # the iteration count, which is always 1
+        packet.take(4)  # iteration count, always 1
         statement = self._prepared.get(number)
         if statement is None:
             raise MysqlError(1243, "HY000", f"Unknown prepared statement handler ({number})")
@@ -207,7 +207,7 @@
     async def _run(
         self, text: str, values: Sequence[Value], attributes: Mapping[str, Value], binary: bool
     ) -> list[Event]:
-        """Execute a statement; the edge names its request and attempt in query attributes."""
+        """Execute a statement; query attributes from the edge identify its request and attempt."""
         request = str(attributes.get("juniperreel_request", ""))
         if not request:
             return await self._answer(text, values, binary)
@@ -288,7 +288,7 @@
         return await self._send_result(result, binary)
 
     def _record_executed(self, text: str, values: Sequence[Value]) -> None:
-        """Record a statement that has a serial number among its values."""
+        """Record the statement if it has a serial number among its values."""
         serial = next((str(value) for value in values if str(value).startswith(SERIAL_PREFIX)), "")
         if serial:
             self._endpoint.record(
@@ -304,7 +304,7 @@
             )
 
     async def _send_result(self, result: ResultSet, binary: bool) -> list[Event]:
-        """Send rows as they are drawn, no faster than the client reads."""
+        """Send rows in batches, no faster than the client reads them."""
         session = self._session
         batch: list[Sequence[Any]] = []
         columns = result.columns
--- a/juniperreel/fakes/mysql_engine.py
+++ b/juniperreel/fakes/mysql_engine.py
@@ -1,8 +1,8 @@
-"""Executes the statements of one MySQL connection: a useful part of MySQL's dialect, on SQLite.
+"""Executes the statements of one MySQL connection: a subset of MySQL's dialect, on SQLite.
 
-A transaction works on a fork of the data and becomes one entry of the log. There is one writer at a time: a
-transaction takes the endpoint's write lock with its first write and holds it until its end; others wait for
-the lock and give up after a while.
+A transaction works on a copy of the data and is committed as one log entry. There is one writer at a time: a
+transaction acquires the endpoint's write lock with its first write and holds it until it ends; others wait
+for the lock up to a timeout.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class ResultSet:
-    """The result of a read. `rows` can be iterated once; without `columns`, values show their types."""
+    """The result of a read. `rows` can be iterated once; without `columns`, types are derived from values."""
 
     names: list[str]
     rows: Iterator[Sequence[Any]]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class OkResult:
-    """The result of a statement without rows: what an OK packet says."""
+    """The result of a statement without rows: the content of an OK packet."""
 
     affected: int = 0
     insert_id: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Savepoint:
-    """A savepoint, and how many statements the transaction had executed before it."""
+    """A savepoint, and the number of writes that the transaction had executed before it."""
 
     name: str
     statements: int
@@ -72,7 +72,7 @@
 
     data: Store
     read_only: bool
-    statements: list[Statement] = field(default_factory=list)  # writes, to be committed
+    statements: list[Statement] = field(default_factory=list)  # writes to commit
     request_id: str = ""
     row: str = ""
     locked: bool = False
@@ -80,7 +80,7 @@
 
 
 def server_uuid(group: int, epoch: int) -> str:
-    """The server UUID of whichever endpoint is primary in an epoch, as GTIDs contain it."""
+    """The server UUID in the GTIDs of an epoch, whichever endpoint is its primary."""
     return str(uuid.uuid5(uuid.NAMESPACE_OID, f"juniperreel stand-in {group} {epoch}"))
 
 
@@ -96,8 +96,8 @@
         self.endpoint = endpoint
         self.autocommit = True
         self.variables = SessionVariables()
-        self.read_only = False  # of the transaction that was begun
-        self.begun = False  # a transaction whose first statement has not come
+        self.read_only = False  # access mode of the transaction that was begun
+        self.begun = False  # a transaction was begun and has executed no statement yet
         self.transaction: Transaction | None = None
         self._row_count = -1
         self._found_rows = 0
@@ -108,7 +108,7 @@
         return self.begun or self.transaction is not None
 
     def reset(self) -> None:
-        """End the connection, or reset it: an open transaction is rolled back."""
+        """Reset the session, also at its end: roll back an open transaction and reset variables."""
         self._rollback()
         self.autocommit = True
         self.variables.reset()
@@ -149,7 +149,7 @@
     # Transactions and session state.
 
     async def _control(self, lower: str, plain: str) -> OkResult | None:
-        """Execute a statement on transactions, variables or connections; None if it is another."""
+        """Execute a statement on transactions, variables or connections; None for other statements."""
         if lower in ("begin", "begin work") or lower.startswith("start transaction"):
             await self._commit()
             self.begun = True
@@ -230,7 +230,7 @@
         result = await self._committed(write.position, 0, 0)
         return OkResult(gtid=result.gtid)
 
-    # Statements that no table answers.
+    # Statements without tables.
 
     def _builtin(self, lower: str) -> ResultSet | None:
         if lower == "select last_insert_id()":
@@ -263,7 +263,7 @@
         return ResultSet([f"@@{name}"], iter([(values[name],)]))
 
     def _gtid_executed(self) -> str:
-        """The GTID set of what this endpoint's copy has applied."""
+        """The GTID set of the commits that this endpoint has applied."""
         replica = self.endpoint.replica
         counts: dict[int, int] = {}
         for commit in replica.log[: replica.store.applied]:
@@ -294,7 +294,7 @@
             async with endpoint.capacity.core():
                 await endpoint.capacity.execute(work_us)
                 await endpoint.wait_while_hung()
-            # Locks and other endpoints' receipts are waited for without a core.
+            # Waiting for locks and for replication does not occupy a core.
             if statement.writes:
                 return await self._write(statement, text, parameters)
             if statement.locks and self.transaction is not None:
@@ -321,7 +321,7 @@
             raise MysqlError(1205, "HY000", "Lock wait timeout exceeded; try restarting transaction")
 
     async def _lock(self, transaction: Transaction) -> None:
-        """Take the write lock for a transaction, which from then on works on the data as of now."""
+        """Acquire the write lock for a transaction and replace its copy by the current data."""
         if transaction.locked:
             return
         await self._acquire_write_lock()
@@ -375,7 +375,7 @@
 
 
 def _every_type(without_year: bool) -> ResultSet:
-    """The table of every type: a row of values, and one of nulls."""
+    """The table with every type: one row of values and one row of NULLs."""
     typed = [column for column in TYPED_COLUMNS if column.name != "year" or not without_year]
     columns = [Column(c.name, c.type, c.charset, flags=c.flags) for c in typed]
     row = [column.value for column in typed]
@@ -383,7 +383,7 @@
 
 
 def _written_row(text: str, parameters: Sequence[Any]) -> str:
-    """Whose row a statement writes, for the record: its first value."""
+    """The key of the row that a statement writes, for records: its first value."""
     if parameters:
         return str(parameters[0])
     match = FIRST_LITERAL.search(text)
--- a/juniperreel/fakes/mysql_prepared.py
+++ b/juniperreel/fakes/mysql_prepared.py
@@ -1,4 +1,4 @@
-"""Prepared statements of a MySQL connection: their placeholders, and the values bound to them."""
+"""Prepared statements of a MySQL connection: placeholders and bound values."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PreparedStatement:
-    """A statement, the types that its parameters were last given, and long data sent ahead."""
+    """A statement, the latest types of its parameters, and long data received for the next execution."""
 
     def __init__(self, text: str) -> None:
         self.text = text
@@ -22,7 +22,7 @@
         self.long_data: dict[int, bytearray] = {}  # by parameter
 
     def append_long_data(self, parameter: int, data: bytes) -> None:
-        """Add to the value of a parameter that is sent in pieces."""
+        """Append to the value of a parameter that is sent in chunks."""
         self.long_data.setdefault(parameter, bytearray()).extend(data)
 
 
@@ -35,7 +35,7 @@
 
 
 def bind(statement: PreparedStatement, packet: Cursor, flags: int, takes_attributes: bool) -> BoundStatement:
-    """Read the parameters of an execution. Raises ProtocolError for a malformed packet."""
+    """Decode the parameters of an execution. Raises ProtocolError for a malformed packet."""
     total = statement.parameter_count
     if takes_attributes and (total or flags & PARAMETER_COUNT_AVAILABLE):
         total = packet.length()
@@ -54,7 +54,7 @@
 
 
 def count_placeholders(text: str) -> int:
-    """The number of question marks outside of strings, quoted names and comments."""
+    """The number of placeholders outside of strings, quoted identifiers and comments."""
     count = 0
     index = 0
     quote = ""
--- a/juniperreel/fakes/mysql_server.py
+++ b/juniperreel/fakes/mysql_server.py
@@ -1,4 +1,4 @@
-"""The MySQL side of a fake endpoint: accepts connections, and ends them."""
+"""The MySQL server of a fake endpoint: accepts and terminates connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class MysqlServer:
-    """All MySQL connections of one endpoint's process."""
+    """The MySQL connections of one endpoint's process."""
 
     def __init__(self, endpoint: FakeEndpoint, plugin: str = SHA2) -> None:
         self._endpoint = endpoint
@@ -30,8 +30,8 @@
         self._last_number = 0
         self._scopes: dict[int, trio.CancelScope] = {}  # by connection number
         self.opened = 0
-        self.prepared = 0  # COM_STMT_PREPARE, ever
-        self.resets = 0  # COM_RESET_CONNECTION, ever
+        self.prepared = 0  # total number of COM_STMT_PREPARE
+        self.resets = 0  # total number of COM_RESET_CONNECTION
 
     @property
     def connections(self) -> int:
@@ -50,7 +50,7 @@
                 nursery.start_soon(self._serve_connection, stream)
 
     def kill(self, number: int) -> None:
-        """End a connection, if it is open."""
+        """Terminate a connection, if it is open."""
         scope = self._scopes.get(number)
         if scope is not None:
             scope.cancel()
--- a/juniperreel/fakes/mysql_translation.py
+++ b/juniperreel/fakes/mysql_translation.py
@@ -1,4 +1,4 @@
-"""Translation of MySQL statements and SQLite errors; statements that have no translation are rejected."""
+"""Translation of MySQL statements to SQLite, and of SQLite errors to MySQL."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 @dataclass(frozen=True, slots=True)
 class TranslatedStatement:
-    """A statement in SQLite's dialect, and what it does."""
+    """A statement in SQLite's dialect, and its kind."""
 
     text: str
     writes: bool
     locks: bool
-    changes_schema: bool  # commits an open transaction first
+    changes_schema: bool  # implicitly commits an open transaction
 
 
 def syntax_error(detail: str) -> MysqlError:
-    """The error for a statement that MySQL would not parse."""
+    """The error for a statement that MySQL cannot parse."""
     return MysqlError(1064, "42000", f"You have an error in your SQL syntax{detail}")
 
 
 @lru_cache(maxsize=CACHED_STATEMENTS)
 def translate(text: str) -> TranslatedStatement:
-    """Translate one statement. Raises MysqlError."""
+    """Translate one statement. Raises MysqlError if it is invalid or not supported."""
     try:
         parsed = [expression for expression in sqlglot.parse(text, read="mysql") if expression is not None]
-    except Exception as error:  # the parser fails in many ways on malformed text; the server must not
+    except Exception as error:  # malformed text makes the parser raise many types; the server must not fail
         raise syntax_error(f": {str(error)[:MAX_PARSER_MESSAGE]}") from error
     if len(parsed) != 1:
         raise MysqlError(1064, "42000", "one statement, please")
@@ -55,7 +55,7 @@
 
 
 def mysql_error_of(error: sqlite3.Error | sqlite3.Warning) -> MysqlError:
-    """The MySQL error for one of SQLite's."""
+    """The MySQL error that corresponds to an SQLite error."""
     message = str(error)
     object_name = message.rpartition(" ")[2]
     if "no such table" in message:
--- a/juniperreel/fakes/mysql_types.py
+++ b/juniperreel/fakes/mysql_types.py
@@ -1,4 +1,4 @@
-"""A table with a column of every MySQL type, which SQLite does not have."""
+"""The columns of a table with every MySQL type, most of which SQLite lacks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TypedColumn(NamedTuple):
-    """A column and its value in the table's one row."""
+    """A column and its value in the table's row of values."""
 
     name: str
     type: ColumnType
--- a/juniperreel/fakes/mysql_variables.py
+++ b/juniperreel/fakes/mysql_variables.py
@@ -1,4 +1,4 @@
-"""Session and user variables of a MySQL connection: assignments, and their use in statements."""
+"""Session and user variables of a MySQL connection: assignment, and substitution in statements."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class SessionVariables:
-    """The variables of one connection that differ from their defaults, and its last insert id."""
+    """The variables of one connection with non-default values, and its last insert ID."""
 
     def __init__(self) -> None:
         self.values: dict[str, str] = {}
         self.last_insert_id = 0
 
     def reset(self) -> None:
-        """Return all variables to their defaults."""
+        """Reset all variables to their defaults."""
         self.values = {}
 
     def assign(self, text: str) -> None:
-        """Assign literals, as SET does: all of them or, where MysqlError is raised, none."""
+        """Assign literals like SET, atomically. Raises MysqlError, in which case no variable changes."""
         values = dict(self.values)
         for part in ASSIGNMENT_SEPARATOR.split(text):
             match = ASSIGNMENT.match(part.strip())
@@ -54,7 +54,7 @@
         self.values = values
 
     def substitute(self, text: str) -> str:
-        """The statement with variables replaced by their values, outside of quotes."""
+        """Replace variables outside of quotes by their values."""
         if "@" not in text and "last_insert_id" not in text.lower():
             return text
         return REFERENCE.sub(self._value, text)
--- a/juniperreel/fakes/naive_proxy.py
+++ b/juniperreel/fakes/naive_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy that breaks the rules, to show that the checkers notice. Not a part of the product.
+"""A proxy that violates the rules, to validate the checkers. It is not part of the product.
 
 It selects endpoints at random, retries without regard for idempotency when a response is late and leaves the
-first attempt running, and ignores draining, slow start, roles and tokens. Run as a program of its own:
+first attempt running, and ignores draining, slow start, roles and tokens. It runs as a separate program:
 
     python -m juniperreel.fakes.naive_proxy NAME PORT LIST_PORT
 """
@@ -31,7 +31,7 @@
 
 
 class NaiveProxy:
-    """Serves clients in the way of an edge."""
+    """Serves the same client protocol as an edge."""
 
     def __init__(self, name: str, list_port: int) -> None:
         self._name = name
@@ -45,7 +45,7 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self, port: int) -> None:
-        """Serve until cancelled; a line on standard error says that it listens."""
+        """Serve until cancelled; logs a line to standard error once it is listening."""
         async with trio.open_nursery() as self._nursery:
             listener = await self._network.listen("127.0.0.1", port)
             methods = {"/juniperreel.v1.Records/Execute": Method(unary=self._execute)}
--- a/juniperreel/fakes/platform_clients.py
+++ b/juniperreel/fakes/platform_clients.py
@@ -1,7 +1,7 @@
-"""Clients of the platform's edges: sessions that send one request at a time over a connection that they hold.
+"""Clients of the platform's edges: sessions that send one request at a time over a persistent connection.
 
-A session stays with one edge while that runs. When its connection ends, it goes to another edge under a new
-name, since what it wrote is remembered by the first one only.
+A session uses the same edge while that is running. When its connection is closed, it connects to another edge
+under a new name, because only the first edge knows its earlier writes.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 READ_BYTES = 65_536
 CONNECT_TIMEOUT_US = 2_000_000
 RECONNECT_DELAY_S = 0.1
-DEADLINE_MULTIPLE = 4  # of the latency objective
+DEADLINE_MULTIPLE = 4  # deadline of a request, relative to its latency objective
 TENANT = "acme"
 
-# Statuses of records are gRPC's.
+# Records use gRPC status codes.
 STATUS_OK = 0
 STATUS_UNKNOWN = 2
 STATUS_DEADLINE_EXCEEDED = 4
@@ -35,12 +35,12 @@
 TRANSACTION_RESOLUTION_UNKNOWN = "08007"
 
 
-# The edge that a session is to connect to; None where all are down.
+# Returns the edge that a session is to connect to, or None if all are down.
 EdgeLookup = Callable[[], EdgeAddress | None]
 
 
 def statement(request_class: RequestClass, request_id: str, key: str, group: int, deadline_ms: int) -> str:
-    """The text of a request, as the platform's clients write it."""
+    """The text of a request in the format of the platform's clients."""
     fields = f"id={request_id},c={request_class.name},t={TENANT},d={deadline_ms},cluster={group}"
     if request_class.write:
         fields += f",k={request_id}"
@@ -50,11 +50,11 @@
 
 
 class ConnectionEndedError(FakesError):
-    """The connection ended before the response."""
+    """The connection was closed before the response."""
 
 
 class PlatformSession:
-    """One client session of a group."""
+    """A client session whose requests all go to one group."""
 
     def __init__(
         self,
@@ -81,10 +81,10 @@
         self._edge = ""
         self._stream: trio.abc.Stream | None = None
         self._protocol = ClientConnection("worker", "catalog")
-        self.patience_us = 0  # how long it waits beyond the time that it tells the edge
+        self.patience_us = 0  # wait beyond the deadline that is sent to the edge
 
     async def run(self, until_us: int, mean_pause_s: float) -> None:
-        """Send requests until then, with a pause between a response and the next request."""
+        """Send requests until `until_us`, with a random pause between a response and the next request."""
         while self._clock.now_us() < until_us:
             await trio.sleep(mean_pause_s * self._rng.expovariate(1.0))
             if self._stream is not None and (self._protocol.phase is Phase.CLOSED or hung_up(self._stream)):
@@ -128,11 +128,11 @@
         return self._protocol.receive_data(bytes(data))
 
     async def _send_request(self) -> int:
-        """Send one request and receive its response; returns the retry-after in microseconds."""
+        """Send one request and wait for its response; returns the retry-after in microseconds."""
         assert self._stream is not None
         (request_class,) = self._rng.choices(self._classes, self._weights)
-        stretch = self._rng.uniform(0.85, 1.0)
-        deadline_us = stretch * request_class.latency_objective_us * DEADLINE_MULTIPLE
+        deadline_factor = self._rng.uniform(0.85, 1.0)
+        deadline_us = deadline_factor * request_class.latency_objective_us * DEADLINE_MULTIPLE
         request_id = f"{self._rng.getrandbits(64):016x}"
         deadline_ms = int(deadline_us // 1000)
         text = statement(request_class, request_id, self._key, self._group, deadline_ms)
@@ -151,12 +151,12 @@
         return 0
 
     def _on_connection_ended(self, request_id: str) -> None:
-        """The connection ended before the whole response."""
+        """Record a connection that was closed before the complete response."""
         self._record_local(request_id, STATUS_UNAVAILABLE)
 
     @property
     def _key(self) -> str:
-        """The session's name with its present edge, under which it reads and writes."""
+        """The session's name for its current connection, which is also the key of its reads and writes."""
         return f"{self._name}.{self._connect_count}"
 
     def _record_sent(self, request_class: RequestClass, request_id: str, deadline_ms: int) -> None:
@@ -179,7 +179,7 @@
         self._record(ResponseReceived(self._clock.now_us(), request_id, 0, status, local=True))
 
     def _record_reply(self, request_id: str, reply: Reply) -> int:
-        """Record a response and return its retry-after in microseconds."""
+        """Record a response; returns its retry-after in microseconds."""
         now = self._clock.now_us()
         if reply.error is None:
             endpoint, _, ids = (reply.value or b"").decode().partition("|")
--- a/juniperreel/fakes/platform_discovery.py
+++ b/juniperreel/fakes/platform_discovery.py
@@ -1,7 +1,6 @@
-"""The platform's discovery for a fleet of fakes, in place of the endpoint list.
+"""The platform's discovery for a fleet of fakes, which replaces the endpoint list server.
 
-Every edge has a discovery server of its own, as the address of an endpoint may differ from one edge to the
-next.
+Each edge has its own discovery server, because the address of an endpoint may differ between edges.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from juniperreel.verification.records import EndpointListed, RecordSink
 
 UPDATE_INTERVAL_S = 0.05
-# The platform's rule: what a muted watch misses counts as notified so long after it was muted.
+# Rule of the platform: updates missed by a muted watch count as delivered this long after the muting.
 MUTED_NOTICE_S = 6.0
 HEALTH = {
     hosts_pb2.READINESS_UP: "Ready",
@@ -28,12 +27,12 @@
 }
 READINESS_BY_HEALTH = {HEALTH[readiness]: name for readiness, name in READINESS_NAMES.items()}
 
-# The port by which an edge reaches an endpoint: edge, endpoint.
+# Returns the port on which an edge reaches an endpoint. Arguments: edge, endpoint.
 PortLookup = Callable[[str, str], Awaitable[int]]
 
 
 class PendingUpdate(NamedTuple):
-    """An update that an edge is shown once it is due."""
+    """An update that becomes visible to an edge once it is due."""
 
     due_us: int
     edge: str
@@ -41,7 +40,7 @@
 
 
 class RecordedDiscovery(DiscoveryServer):
-    """One edge's discovery server; records what it answers."""
+    """The discovery server of one edge; records the endpoints in its answers."""
 
     def __init__(self, edge: str, clock: Clock, record: RecordSink) -> None:
         super().__init__([])
@@ -52,18 +51,18 @@
         self._muted_at_s = 0.0
 
     def mute(self) -> None:
-        """Never answer the calls that are open now."""
+        """Never answer the calls open now."""
         super().mute()
         self._muted_at_s = trio.current_time()
 
     async def wait_muted(self) -> None:
-        """Hold the call; record what the edge missed once it counts as notified."""
+        """Hold the call; record the missed updates once they count as delivered."""
         await trio.sleep_until(self._muted_at_s + MUTED_NOTICE_S)
         self.on_answer(self.hosts)
         await super().wait_muted()
 
     def on_answer(self, hosts: list[dict[str, Any]]) -> None:
-        """Record what an answer says; what it does not contain any more is removed."""
+        """Record the endpoints of an answer; those no longer present are recorded as gone."""
         now = self._clock.now_us()
         for host in hosts:
             readiness = READINESS_BY_HEALTH[host["health"]]
@@ -76,7 +75,7 @@
 
 
 class PlatformDiscovery:
-    """Takes the place of a fleet's endpoint list. `delay_us` is the mean delay of updates."""
+    """Replaces a fleet's endpoint list server. `delay_us` is the mean delay of updates."""
 
     def __init__(
         self,
@@ -88,7 +87,7 @@
         find_port: PortLookup,
     ) -> None:
         self.port = 0
-        self.frozen = False  # updates are not shown
+        self.frozen = False  # updates stay pending
         self.servers = {edge: RecordedDiscovery(edge, clock, record) for edge in edges}
         self._clock = clock
         self._rng = rng
@@ -98,7 +97,7 @@
         self._published: dict[str, dict[str, hosts_pb2.Host]] = {edge: {} for edge in edges}
         self._hidden: set[str] = set()
         self._empty = False
-        self._outdated: set[str] = set()  # edges whose list is to be made anew
+        self._outdated: set[str] = set()  # edges whose list must be rebuilt
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled."""
@@ -109,23 +108,23 @@
             task_status.started()
 
     def publish(self, host: hosts_pb2.Host, delay_us: int | None = None) -> None:
-        """Show an endpoint's state to all edges after a delay; None stands for the list's own."""
+        """Publish an endpoint's state to all edges after a mean delay; None selects the default."""
         delay_us = self._delay_us if delay_us is None else delay_us
         due_us = draw_due_us(self._clock, self._rng, delay_us)
         for edge in self.servers:
             self._pending.append(PendingUpdate(due_us, edge, host))
 
     def endpoint_names(self) -> list[str]:
-        """All endpoints that any edge was shown, sorted."""
+        """All endpoints that were published to any edge, sorted."""
         return sorted({name for hosts in self._published.values() for name in hosts})
 
     def hide(self, names: set[str]) -> None:
-        """Omit these endpoints, and no others, from now on."""
+        """Omit exactly these endpoints from the list from now on."""
         self._hidden = names
         self._outdated = set(self.servers)
 
     def set_empty(self, empty: bool) -> None:
-        """Show no endpoints at all, or show them again."""
+        """Serve an empty list, or the published endpoints again."""
         self._empty = empty
         self._outdated = set(self.servers)
 
@@ -150,7 +149,7 @@
         self._pending = [update for update in self._pending if update.due_us > now]
 
     async def _hosts(self, edge: str) -> list[dict[str, Any]]:
-        """The list for an edge, in the platform's form."""
+        """The list for an edge, in the platform's format."""
         hosts = []
         for name, host in sorted(self._published[edge].items()):
             if name in self._hidden or host.readiness == hosts_pb2.READINESS_GONE:
--- a/juniperreel/fakes/postgres_server.py
+++ b/juniperreel/fakes/postgres_server.py
@@ -1,9 +1,9 @@
-"""The PostgreSQL side of a fake endpoint: the platform's two statements and probes.
+"""The PostgreSQL server of a fake endpoint: the platform's two statements and probes.
 
-Connections come through relays of the same process, which say whose they are. A value is the endpoint's name,
-a bar, and the identifiers of all requests that wrote under its key, newest first, so that an answer shows who
-gave it and which commits it contains. Work stops when its client closes the connection, as the platform's
-endpoints do.
+Connections come from relays in the same process, which identify the edge. A value consists of the endpoint's
+name, a vertical bar, and the identifiers of all requests that wrote to the key, newest first, so that a
+response shows which endpoint sent it and which commits it contains. As at the platform's endpoints, work is
+cancelled when the client closes the connection.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class PostgresError(FakesError):
-    """An error that the client receives as an ErrorResponse with this SQLSTATE."""
+    """An error that the client receives as an ErrorResponse message with this SQLSTATE."""
 
     def __init__(self, sqlstate: str, message: str) -> None:
         super().__init__(message)
@@ -53,29 +53,29 @@
 
 
 class ResponseLostError(FakesError):
-    """No response is sent; where the connection is `broken`, it ends instead."""
+    """A fault suppresses the response; if `broken`, the connection is closed as well."""
 
     def __init__(self, broken: bool) -> None:
-        super().__init__("the connection breaks" if broken else "the response is lost")
+        super().__init__("fault: connection closed" if broken else "fault: response lost")
         self.broken = broken
 
 
 class CachedReport(NamedTuple):
-    """A load report and when it was made."""
+    """A load report and the time of its creation."""
 
     at_us: int
     text: bytes
 
 
 class RunningAttempt(NamedTuple):
-    """The attempt that a connection executes."""
+    """The attempt that a connection is executing."""
 
     request_id: str
     number: int
 
 
-class FormResult(NamedTuple):
-    """The value that answers a statement, and the commit position if it wrote."""
+class StatementResult(NamedTuple):
+    """The value in the response to a statement, and the commit position of a write."""
 
     value: bytes
     commit: int | None
@@ -91,17 +91,17 @@
 
 
 class PostgresServer:
-    """All connections of one endpoint."""
+    """The PostgreSQL connections of one endpoint."""
 
     def __init__(self, endpoint: FakeEndpoint) -> None:
         self.endpoint = endpoint
-        self.opened = 0  # connections, ever
-        self.open = 0  # connections, now
-        self.most_open = 0  # connections, at most at a time
-        self.probes = 0  # answered, ever
+        self.opened = 0  # total number of connections
+        self.open = 0  # connections open now
+        self.most_open = 0  # maximum of open connections
+        self.probes = 0  # total number of probes answered
         self.attempts: dict[str, int] = {}  # number of the last attempt, by request
-        self.running: dict[str, list[PostgresConnection]] = {}  # connections that execute, by request
-        self._nursery: trio.Nursery | None = None  # while the endpoint's process runs
+        self.running: dict[str, list[PostgresConnection]] = {}  # executing connections, by request
+        self._nursery: trio.Nursery | None = None  # set while the endpoint's process is running
         self._cached_report = CachedReport(0, b"")
 
     async def serve(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -116,18 +116,17 @@
     async def connect(self, edge: str, edge_closed: Callable[[], bool]) -> trio.abc.Stream:
         """Open a connection for an edge and return the edge's end of it.
 
-        A socket pair takes the place of a listening port: with a port for each edge and endpoint, hundreds of
-        edges before dozens of endpoints would use up all ports of the machine. `edge_closed` says whether the
-        edge has closed the connection, though that may not have been read here yet. Raises
-        ConnectRefusedError while no process runs.
+        A socket pair is used instead of a listening port: with one port for each pair of edge and endpoint,
+        hundreds of edges with dozens of endpoints would exhaust the machine's ports. `edge_closed` returns
+        whether the edge has closed the connection, even if that has not been read here yet. Raises
+        ConnectRefusedError while the endpoint's process is not running.
         """
         await trio.lowlevel.checkpoint()
         if self._nursery is None:
-            raise ConnectRefusedError(f"{self.endpoint.name} does not run")
+            raise ConnectRefusedError(f"{self.endpoint.name} is not running")
         if edge_closed():
-            # An event loop that is late must not serve all clients that disconnected meanwhile: it would be
-            # later still.
-            raise ConnectRefusedError("nobody waits any more")
+            # If the event loop is late, serving clients that have disconnected since would delay it further.
+            raise ConnectRefusedError("the edge has closed the connection")
         try:
             pair = socket.socketpair()
         except OSError as error:
@@ -137,7 +136,7 @@
         return edge_end
 
     def report(self) -> bytes:
-        """The load report, as old as its last refresh."""
+        """The load report, which is refreshed at intervals and stale in between."""
         endpoint = self.endpoint
         now = endpoint.recorded_at_us()
         if now - self._cached_report.at_us > REPORT_INTERVAL_US:
@@ -148,14 +147,14 @@
         return self._cached_report.text
 
     def start_attempt(self, request_id: str, connection: PostgresConnection) -> RunningAttempt:
-        """Number an attempt and note its connection."""
+        """Assign a number to an attempt and register its connection."""
         number = self.attempts.get(request_id, -1) + 1
         self.attempts[request_id] = number
         self.running.setdefault(request_id, []).append(connection)
         return RunningAttempt(request_id, number)
 
     def finish_attempt(self, request_id: str, connection: PostgresConnection) -> None:
-        """Forget the connection of an attempt."""
+        """Unregister the connection of an attempt."""
         connections = self.running[request_id]
         connections.remove(connection)
         if not connections:
@@ -163,23 +162,27 @@
 
 
 class PostgresConnection:
-    """One connection: reads queries, executes them in order, sends their results."""
+    """A connection that reads queries, executes them in order and sends their results."""
 
     def __init__(
-        self, side: PostgresServer, edge: str, stream: trio.abc.Stream, edge_closed: Callable[[], bool]
+        self,
+        postgres_server: PostgresServer,
+        edge: str,
+        stream: trio.abc.Stream,
+        edge_closed: Callable[[], bool],
     ) -> None:
         self.edge_closed = edge_closed
-        self._server = side
-        self._endpoint = side.endpoint
+        self._server = postgres_server
+        self._endpoint = postgres_server.endpoint
         self._edge = edge
         self._stream = stream
         self._protocol = server.ServerConnection()
-        self._received = trio.Event()  # replaced whenever data came
+        self._received = trio.Event()  # replaced each time data is received
         self._attempt: RunningAttempt | None = None
-        self._abandoned = False  # whether that was recorded of the attempt
+        self._abandoned = False  # whether the attempt was recorded as abandoned
 
     async def run(self) -> None:
-        """Serve the connection until its end."""
+        """Serve the connection until it is closed."""
         self._server.opened += 1
         self._server.open += 1
         self._server.most_open = max(self._server.most_open, self._server.open)
@@ -194,7 +197,7 @@
                 await trio.aclose_forcefully(self._stream)
 
     async def _read(self, connection_scope: trio.CancelScope) -> None:
-        """Read until the client disconnects, which cancels what is being executed."""
+        """Read until the client disconnects, which cancels the running statement."""
         try:
             while data := await self._stream.receive_some(READ_BYTES):
                 self._protocol.receive_data(bytes(data))
@@ -206,7 +209,7 @@
         connection_scope.cancel()
 
     def record_abandoned(self) -> None:
-        """Record, once, that the running attempt is abandoned."""
+        """Record the running attempt as abandoned, at most once."""
         if self._attempt is not None and not self._abandoned:
             self._abandoned = True
             endpoint = self._endpoint
@@ -243,24 +246,31 @@
             self._server.probes += 1
             return single_row(b"1") + messages.READY
         try:
-            form = parse_request(text)
+            request = parse_request(text)
         except RequestFormatError as error:
             return server.failed(PROTOCOL_VIOLATION, str(error))
-        return await self._run_attempt(form)
+        return await self._run_attempt(request)
 
-    async def _run_attempt(self, form: StatementRequest) -> bytes:
+    async def _run_attempt(self, request: StatementRequest) -> bytes:
         endpoint = self._endpoint
-        # On a machine with much else to do this process has to wait. What an edge abandoned in time, by
-        # closing a connection, would then be recorded as sent after its final answer, or beside its next
-        # attempt.
+        # On a loaded machine this process runs late. An attempt that the edge abandoned in time, by closing
+        # the connection, would then be recorded as sent after the final response or concurrently with the
+        # next attempt.
         if self.edge_closed():
             raise ResponseLostError(broken=True)
-        self._record_abandoned_elsewhere(form.id)
-        mean_us = endpoint.mean_work_us(form.is_write)
+        self._record_abandoned_elsewhere(request.id)
+        mean_us = endpoint.mean_work_us(request.is_write)
         now = endpoint.recorded_at_us()
-        attempt = self._server.start_attempt(form.id, self)
+        attempt = self._server.start_attempt(request.id, self)
         received = AttemptReceived(
-            now, endpoint.name, self._edge, *attempt, form.id, form.class_name, form.is_write, mean_us
+            now,
+            endpoint.name,
+            self._edge,
+            *attempt,
+            request.id,
+            request.class_name,
+            request.is_write,
+            mean_us,
         )
         endpoint.record(received)
         endpoint.capacity.offer(mean_us)
@@ -268,7 +278,7 @@
         self._abandoned = False
         outcome = "stopped"
         try:
-            response = await self._execute(form, mean_us, now + form.timeout_ms * 1000)
+            response = await self._execute(request, mean_us, now + request.timeout_ms * 1000)
             outcome = "answered"
         except PostgresError as error:
             outcome = OUTCOMES.get(error.sqlstate, "INTERNAL")
@@ -276,14 +286,14 @@
             response += self._status_parameters(None) + messages.READY
         finally:
             self._attempt = None
-            self._server.finish_attempt(form.id, self)
+            self._server.finish_attempt(request.id, self)
             executed = outcome == "answered"
             finished_at = endpoint.recorded_at_us()
             endpoint.record(AttemptFinished(finished_at, endpoint.name, *attempt, outcome, executed))
         return response
 
     def _record_abandoned_elsewhere(self, request_id: str) -> None:
-        """Record earlier attempts of a request whose connections the edge has closed meanwhile."""
+        """Record earlier attempts of a request as abandoned if the edge has closed their connections."""
         running = [
             connection
             for endpoint in self._endpoint.group.endpoints
@@ -293,14 +303,14 @@
             if connection.edge_closed():
                 connection.record_abandoned()
 
-    async def _execute(self, form: StatementRequest, mean_us: int, deadline_us: int) -> bytes:
-        """The response to a statement. Raises PostgresError or ResponseLostError."""
+    async def _execute(self, request: StatementRequest, mean_us: int, deadline_us: int) -> bytes:
+        """Execute a statement and encode the response. Raises PostgresError or ResponseLostError."""
         endpoint = self._endpoint
         if endpoint.faults.rejecting or endpoint.draining:
             raise PostgresError(TOO_MANY_CONNECTIONS, "no room")
         if endpoint.occurs(endpoint.faults.failed_requests):
             raise PostgresError(INTERNAL_ERROR, "something inside is broken")
-        if form.is_write and not endpoint.claims_primary:
+        if request.is_write and not endpoint.claims_primary:
             raise PostgresError(READ_ONLY_TRANSACTION, "not the primary")
         work_us = endpoint.capacity.draw_work_us(mean_us)
         try:
@@ -309,7 +319,7 @@
                     raise PostgresError(TOO_MANY_CONNECTIONS, "the request is over already")
                 await endpoint.capacity.execute(work_us)
                 await endpoint.wait_while_hung()
-                result = await self._write(form) if form.is_write else self._read_ids(form)
+                result = await self._write(request) if request.is_write else self._read_ids(request)
         except QueueFullError as error:
             raise PostgresError(TOO_MANY_CONNECTIONS, "the queue is full") from error
         if endpoint.occurs(endpoint.faults.lost_responses):
@@ -319,29 +329,29 @@
         await endpoint.wait_while_hung()
         return single_row(result.value) + self._status_parameters(result.commit) + messages.READY
 
-    def _read_ids(self, form: StatementRequest) -> FormResult:
-        cursor = self._endpoint.replica.store.execute(SELECT, (form.key, MAX_IDS))
-        return FormResult(self._value(",".join(str(found) for (found,) in cursor.fetchall())), None)
+    def _read_ids(self, request: StatementRequest) -> StatementResult:
+        cursor = self._endpoint.replica.store.execute(SELECT, (request.key, MAX_IDS))
+        return StatementResult(self._value(",".join(str(found) for (found,) in cursor.fetchall())), None)
 
     def _value(self, ids: str) -> bytes:
         return f"{self._endpoint.name}|{ids}".encode()
 
-    async def _write(self, form: StatementRequest) -> FormResult:
-        """Write, once for each idempotency key within the group's deduplication window."""
+    async def _write(self, request: StatementRequest) -> StatementResult:
+        """Execute a write once for each idempotency key within the group's deduplication window."""
         endpoint = self._endpoint
-        key = form.idempotency_key or ""
+        key = request.idempotency_key or ""
         if not endpoint.claims_primary:
             raise PostgresError(READ_ONLY_TRANSACTION, "no longer the primary")
         write = endpoint.replica.executed_writes.get(key) if key else None
         if write is None:
-            write = self._commit(form, key)
+            write = self._commit(request, key)
         await endpoint.wait_until_replicated(write.position)
-        return FormResult(self._value(form.id), write.position)
+        return StatementResult(self._value(request.id), write.position)
 
-    def _commit(self, form: StatementRequest, key: str) -> ExecutedWrite:
-        statement = Statement(INSERT, (form.key, form.id))
+    def _commit(self, request: StatementRequest, key: str) -> ExecutedWrite:
+        statement = Statement(INSERT, (request.key, request.id))
         try:
-            return self._endpoint.commit([statement], key, form.id, form.key)
+            return self._endpoint.commit([statement], key, request.id, request.key)
         except sqlite3.Error as error:
             raise PostgresError(INTERNAL_ERROR, str(error)) from error
 
--- a/juniperreel/fakes/replication_group.py
+++ b/juniperreel/fakes/replication_group.py
@@ -1,8 +1,9 @@
-"""A replication group: who is primary in which epoch, how the log reaches replicas, and how a failover goes.
+"""A replication group: its primary and epoch, log replication, and failover.
 
-Each endpoint has a log of its own. Replicas receive their primary's over a stream, after a delay, and apply
-it on one thread. A primary that is dead, partitioned or silent for the detection span is given up; after the
-election the replica that received most takes over in a new epoch. What only the old primary has is cut off.
+Each endpoint has its own log. Replicas receive the primary's log over a stream, after a delay, and apply it
+on one thread. A primary that is down, partitioned or unresponsive for the detection time is replaced: after
+the election, the replica that received most becomes primary in a new epoch. Entries that only the old primary
+has are truncated.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class LogTransfer(NamedTuple):
-    """A primary's log on its way to replicas."""
+    """A state of the primary's log in transfer to replicas."""
 
     due_s: float  # when it arrives
     length: int
@@ -38,7 +39,7 @@
 
 
 class FollowedPrimary(NamedTuple):
-    """The primary that a replica follows, and in which epoch."""
+    """The primary that a replica follows, and its epoch."""
 
     primary: str
     epoch: int
@@ -57,10 +58,10 @@
         election_s: float,
         streaming: bool = True,
     ) -> None:
-        """With `streaming`, replicas follow their primary over streams of their own.
+        """With `streaming`, each replica follows the primary over its own stream.
 
-        Without, the group copies the primary's log itself, at a twentieth of the cost: the machine of a large
-        trial has other things to do.
+        Otherwise the group copies the primary's log in memory, at a twentieth of the cost, which saves
+        processor time in large trials.
         """
         self.number = number
         self.streaming = streaming
@@ -68,32 +69,32 @@
         self.primary: FakeEndpoint | None = None
         self.epoch = 1
         self.replication_delay_s = 0.005
-        self.apply_us = 400  # of one commit on a replica's one thread
+        self.apply_us = 400  # time to apply one commit on a replica's single thread
         self.deduplication_window_us = 5_000_000
-        self.step_down_delay_s = STEP_DOWN_DELAY_S  # for which a former primary keeps claiming the role
-        self.received = trio.Event()  # replaced whenever a replica received something
+        self.step_down_delay_s = STEP_DOWN_DELAY_S  # for which a former primary still claims the role
+        self.received = trio.Event()  # replaced each time a replica receives data
         self._clock = clock
         self._rng = rng
         self._record = record
         self._detection_s = detection_s
         self._election_s = election_s
         self._last_position = 0
-        self._outdated_since: dict[str, float] = {}  # when former primaries could notice their successor
-        self._followed: dict[str, FollowedPrimary] = {}  # by replica, without streaming
-        self._transfers: list[LogTransfer] = []  # likewise
+        self._outdated_since: dict[str, float] = {}  # by former primary that can reach its group
+        self._followed: dict[str, FollowedPrimary] = {}  # by replica; without streaming only
+        self._transfers: list[LogTransfer] = []  # the same
 
     def next_position(self) -> int:
-        """A commit position: the group's clock, made strictly increasing."""
+        """A new commit position: the group's clock, forced to increase strictly."""
         self._last_position = max(self._last_position + 1, self._clock.now_us())
         return self._last_position
 
     def heartbeat(self) -> int:
-        """A position at or below which all commits lie, and no later one will."""
+        """A position with all commits so far at or below it, and all later commits above it."""
         self._last_position = max(self._last_position, self._clock.now_us())
         return self._last_position
 
     async def run(self) -> None:
-        """Replicate, and replace primaries that fail, until cancelled."""
+        """Replicate the log and replace failed primaries, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             nursery.start_soon(self._monitor_primary)
@@ -119,7 +120,7 @@
         replica.forget_writes(replica.position - self.deduplication_window_us)
 
     def _copy_log(self, primary: FakeEndpoint, now: float) -> None:
-        """Append to all reachable replicas what the primary's log contained a replication delay ago."""
+        """Bring all reachable replicas to the state of the primary's log one replication delay ago."""
         if not (_is_reachable(primary) and primary.claims_primary):
             self._transfers = []
             return
@@ -143,12 +144,12 @@
         self.notify_received()
 
     def notify_received(self) -> None:
-        """Wake writes that wait for a replica to receive them."""
+        """Wake writes that are waiting for replication."""
         self.received.set()
         self.received = trio.Event()
 
     def _apply(self, endpoint: FakeEndpoint) -> None:
-        """Apply as many commits as one thread can in a tick."""
+        """Apply as many commits as one thread can apply in a tick."""
         replica = endpoint.replica
         commits_per_tick = TICK_S * 1e6 / (self.apply_us * replica.apply_slowdown)
         replica.apply_budget = min(replica.apply_budget + commits_per_tick, MAX_APPLY_BUDGET)
@@ -163,7 +164,7 @@
         replica.forget_writes(replica.position - self.deduplication_window_us)
 
     def is_replicated(self, epoch: int, position: int, source: FakeEndpoint) -> bool:
-        """Whether another live endpoint has received what was committed up to a position."""
+        """Whether another live endpoint has received all commits up to a position."""
         return any(
             endpoint.replica.epoch == epoch and endpoint.replica.received >= position
             for endpoint in self.endpoints
@@ -171,7 +172,7 @@
         )
 
     def _step_down_former_primaries(self, now: float) -> None:
-        """A former primary that reaches its group learns of the new epoch after a while."""
+        """Former primaries give up the role some time after they can reach their group again."""
         for endpoint in self.endpoints:
             outdated = endpoint.claims_primary and endpoint is not self.primary and self.primary is not None
             if outdated and _is_reachable(endpoint):
@@ -182,7 +183,7 @@
                 self._outdated_since.pop(endpoint.name, None)
 
     async def _monitor_primary(self) -> None:
-        """Give up a primary that does not answer its group, and elect another."""
+        """Detect a primary that does not answer its group, and elect another."""
         while True:
             await trio.sleep(MONITOR_INTERVAL_S)
             primary = self.primary
@@ -198,7 +199,7 @@
             await self.elect()
 
     async def elect(self, avoid: FakeEndpoint | None = None) -> FakeEndpoint:
-        """Promote the replica that received most, once there is one; it applies its backlog first."""
+        """Promote the replica that received most, once there is a candidate; it applies its backlog first."""
         elected = max(await self._candidates(avoid), key=lambda e: (e.replica.received, e.name))
         replica = elected.replica
         replica.apply_all()
@@ -217,9 +218,10 @@
         return elected
 
     async def _candidates(self, avoid: FakeEndpoint | None) -> Sequence[FakeEndpoint]:
-        """Wait until an endpoint can be promoted; those that drain count only where there is no other.
+        """Wait for endpoints that can be promoted; draining ones are returned only if there are no others.
 
-        One that has joined and received nothing yet would lose what the group has committed.
+        Endpoints that joined and have received nothing are excluded, as promoting one would lose the commits
+        of the group.
         """
         while True:
             has_history = any(e.replica.received for e in self.endpoints)
--- a/juniperreel/fakes/replication_stream.py
+++ b/juniperreel/fakes/replication_stream.py
@@ -1,4 +1,4 @@
-"""The streams over which a fake endpoint follows its group's primary, and lets replicas follow it."""
+"""Replication streams: the replica's client and the primary's log sender."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from juniperreel.fakes.endpoint import FakeEndpoint
 
 REPLICATE_METHOD = "/juniperreel.member.v1.Member/Replicate"
-RETRY_INTERVAL_S = 0.02  # between attempts to follow
+RETRY_INTERVAL_S = 0.02  # between attempts to follow the primary
 SEND_INTERVAL_S = 0.01  # between checks of the log
 HEARTBEAT_INTERVAL_S = 0.03
 CONNECT_TIMEOUT_US = 300_000
 
 
 class ReplicationClient:
-    """Keeps a stream open to the group's primary, whichever endpoint that is."""
+    """Keeps a stream open to the current primary of the group."""
 
     def __init__(self, endpoint: FakeEndpoint, network: Network, clock: Clock, rng: random.Random) -> None:
         self._endpoint = endpoint
@@ -37,7 +37,7 @@
         self._rng = rng
 
     async def run(self) -> None:
-        """Follow one primary after another, until cancelled."""
+        """Follow the primary, also after failovers, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(RETRY_INTERVAL_S)
@@ -49,7 +49,7 @@
                 try:
                     await self._follow(channel, primary)
                 except (ConnectError, CallUnprocessedError, CallInterruptedError, RpcError):
-                    pass  # the primary died, or is one no longer
+                    pass  # the primary failed or lost its role
                 finally:
                     channel.close()
 
@@ -85,18 +85,18 @@
 
 
 class LogSender:
-    """Sends a primary's log to one replica, as it was a replication delay ago."""
+    """Sends a primary's log to one replica, with the replication delay."""
 
     def __init__(self, endpoint: FakeEndpoint, call: Call) -> None:
         self._endpoint = endpoint
         self._call = call
-        self._sent = 0  # entries of the log
+        self._sent = 0  # number of log entries
         self._sent_at_s = 0.0
         self._transfers: list[LogTransfer] = []
         self._message = member_pb2.ReplicateResponse()
 
     async def run(self) -> None:
-        """Serve the call until cancelled. Raises RpcError once the endpoint is not the primary."""
+        """Serve the call until cancelled. Raises RpcError when the endpoint is no longer primary."""
         endpoint = self._endpoint
         request = member_pb2.ReplicateRequest.FromString(await self._call.receive() or b"")
         positions = [LogPosition(entry.epoch, entry.position) for entry in request.held]
@@ -133,7 +133,7 @@
 
 
 def commit_to_proto(commit: Commit) -> member_pb2.LogEntry:
-    """Encode an entry of the log."""
+    """Encode a log entry."""
     first, *more = commit.statements
     return member_pb2.LogEntry(
         more=[
@@ -153,7 +153,7 @@
 
 
 def commit_from_proto(entry: member_pb2.LogEntry) -> Commit:
-    """Decode an entry of the log."""
+    """Decode a log entry."""
     messages: list[member_pb2.LogEntry | member_pb2.Statement] = [entry, *entry.more]
     statements = tuple(
         Statement(message.statement.decode(), tuple(value_from_proto(p) for p in message.parameters))
--- a/juniperreel/fakes/script.py
+++ b/juniperreel/fakes/script.py
@@ -1,14 +1,14 @@
-"""The script of a run: the fleet, the load, and which fault is injected when.
+"""The script of a run: settings of the fleet and its load, and faults with their times.
 
-    groups 3                    # settings of the fleet and its load, one a line
+    groups 3                    # a setting of the fleet or its load, one per line
     at 2s for 4s slow g0/1 0.4
     at 5s kill g1/primary back 6s
 
-A target is an endpoint (`g0/primary`, `g0/2`), a part of all (`random:25%`), `all`, a group (`g0`), a zone
-(`zone:1`; numbers alternate between two), an edge (`edge/1`, `edge/zone:1`, `edge/random:10%`, `edge/*` for
-all), an instance of the configuration (`instance/0`) or `list`. A link fault has two ends, an edge and what
-it connects to: `at 3s for 2s link-cut edge/1 to g0/primary`. Times count from the start of the run; the same
-text and seed give the same faults.
+A target is an endpoint (`g0/primary`, `g0/2`), a fraction of all (`random:25%`), `all`, a group (`g0`), a
+zone (`zone:1`; numbers alternate between two), an edge (`edge/1`, `edge/zone:1`, `edge/random:10%`, `edge/*`
+for all), an instance of the configuration cluster (`instance/0`) or `list`. A link fault has two ends, an
+edge and a target to which it connects: `at 3s for 2s link-cut edge/1 to g0/primary`. Times count from the
+start of the run; the same text and seed give the same faults.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 SPAN = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)\Z")
 PERCENTAGE = re.compile(r"([0-9]+(?:\.[0-9]+)?)%\Z")
 MAX_NUMBER = 1e6
-MIN_SPAN_DEFAULT = 1000  # a setting whose default is at least this is a span, in microseconds
+MIN_SPAN_DEFAULT = 1000  # a setting with at least this default is a span, in microseconds
 MAX_QUOTED_CHARACTERS = 60
 
 
 class Argument(Enum):
-    """What a fault takes behind its target."""
+    """The kind of argument that follows a fault's target."""
 
-    RESTART = "back"  # optional: back and a span
+    RESTART = "back"  # optional: `back` and a span
     LINK_TARGET = "to"
     PART = "part"
     NUMBER = "number"
@@ -39,7 +39,7 @@
 
 
 class FaultSyntax(NamedTuple):
-    """The arguments of a fault, and whether it lasts for a span given with `for`."""
+    """The arguments of a fault; if `timed`, its duration is given with `for`."""
 
     arguments: tuple[Argument, ...] = ()
     timed: bool = False
@@ -64,14 +64,14 @@
     "flap": FaultSyntax(timed=True),
     "edge-kill": FaultSyntax((Argument.RESTART,)),
     "edge-stall": FaultSyntax(timed=True),
-    "edge-term": FaultSyntax((Argument.RESTART,)),  # SIGTERM, and SIGKILL when its time is over
-    "edge-signals": FaultSyntax((Argument.RESTART,)),  # the same, with SIGHUP and SIGTERM again and again
-    "edge-reload": FaultSyntax(),  # SIGHUP, with discovery at another address
+    "edge-term": FaultSyntax((Argument.RESTART,)),  # SIGTERM, then SIGKILL when its time for shutdown is over
+    "edge-signals": FaultSyntax((Argument.RESTART,)),  # the same, with repeated SIGHUP and SIGTERM
+    "edge-reload": FaultSyntax(),  # SIGHUP, with a new address of the discovery service
     "instance-kill": FaultSyntax((Argument.RESTART,)),
     "link-cut": FaultSyntax((Argument.LINK_TARGET,), timed=True),
     "link-deaf": FaultSyntax((Argument.LINK_TARGET,), timed=True),
     "link-reset": FaultSyntax((Argument.LINK_TARGET,)),
-    # To `list` only: watches that are open are never answered, new ones are.
+    # To `list` only: open watches are never answered; new ones are.
     "link-mute": FaultSyntax((Argument.LINK_TARGET,)),
     "link-slow": FaultSyntax((Argument.LINK_TARGET, Argument.SPAN), timed=True),
 }
@@ -90,20 +90,20 @@
     "cores": 4,
     "cold-span": 6_000_000,
     "retries": 2,
-    "mysql": 0,  # sessions that speak MySQL, in percent
-    "transactions": 0,  # writes over MySQL that are transactions of several statements, in percent
-    "mysql-members": 0,  # 1: endpoints speak MySQL to edges
-    "alone": 0,  # 1: writes are answered without waiting for a replica
-    "heavy": 0,  # edges of a large trial that receive five times the mean load, in percent
-    "fleet": 0,  # the number of edges that the platform's edges are configured with; 0: the true one
-    "longest-deadline": 8_000_000,  # of a trial's requests; shorter ones keep their share of it
-    "crowd": 0,  # idle clients of a soak for each edge, whose descriptors are few then
-    "ask-every": 10_000_000,  # longest time between polls of the list that they are configured with
+    "mysql": 0,  # percentage of sessions that use MySQL
+    "transactions": 0,  # percentage of MySQL writes sent as transactions of several statements
+    "mysql-members": 0,  # 1: edges use MySQL to endpoints
+    "alone": 0,  # 1: writes do not wait for a replica
+    "heavy": 0,  # percentage of edges of a large trial that receive five times the mean load
+    "fleet": 0,  # number of edges in the configuration of the platform's edges; 0: the actual number
+    "longest-deadline": 8_000_000,  # of a trial's requests; shorter deadlines are scaled in proportion
+    "crowd": 0,  # idle clients per edge of a soak, whose file descriptors are limited if set
+    "ask-every": 10_000_000,  # configured longest interval between polls of the endpoint list
 }
 
 
 class ScriptError(FakesError, ValueError):
-    """A script cannot be played; the text has a line for each problem."""
+    """A script is invalid; the message has a line for each problem."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("\n".join(problems))
@@ -112,21 +112,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One fault. Times are microseconds; `for_us` is 0 where it has no end of its own."""
+    """A fault. Times are in microseconds; `for_us` is 0 for a fault without a duration."""
 
     at_us: int
     for_us: int
     fault: str
     target: str
-    value: float  # the fault's argument: a part, a number, or microseconds
+    value: float  # the fault's argument: a fraction, a number, or microseconds
     line: int
     text: str
-    other: str = ""  # the far end of a link
+    other: str = ""  # the remote end of a link
 
 
 @dataclass(slots=True)
 class Script:
-    """A whole script."""
+    """The settings and steps of a script."""
 
     settings: dict[str, int] = field(default_factory=lambda: dict(SETTINGS))
     steps: list[Step] = field(default_factory=list)
@@ -137,7 +137,7 @@
 
 
 def parse(text: str) -> Script:
-    """Parse a script. Raises ScriptError with every problem."""
+    """Parse a script. Raises ScriptError, which lists all problems."""
     script = Script()
     problems = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -165,24 +165,24 @@
 
 
 def render(script: Script) -> str:
-    """A text that parses to the same script."""
+    """Render a text that parses to the same script."""
     lines = [f"{name} {render_setting(name, value)}" for name, value in script.settings.items()]
     steps = [step.text for step in sorted(script.steps, key=lambda step: step.line)]
     return "\n".join(lines + steps) + "\n"
 
 
 def is_span(name: str) -> bool:
-    """Whether a setting is a time, in microseconds."""
+    """Whether a setting is a duration in microseconds."""
     return SETTINGS[name] >= MIN_SPAN_DEFAULT
 
 
 def render_setting(name: str, value: int) -> str:
-    """The value of a setting as a script has it; spans in milliseconds, to the microsecond."""
+    """Render the value of a setting; durations are in milliseconds with microsecond precision."""
     return f"{value / 1000:.3f}ms" if is_span(name) else str(value)
 
 
 def parse_setting(name: str, token: str) -> int:
-    """The value of a setting. Raises ValueError."""
+    """Parse the value of a setting. Raises ValueError."""
     if is_span(name) and SPAN.match(token):
         return parse_span(token)
     if not token.isdigit():
@@ -191,7 +191,7 @@
 
 
 def parse_span(token: str) -> int:
-    """A time in microseconds. Raises ValueError."""
+    """Parse a duration into microseconds. Raises ValueError."""
     match = SPAN.match(token)
     if match is None:
         raise ValueError(f"{token!r} is not a span such as 2s or 300ms")
@@ -199,15 +199,15 @@
 
 
 def parse_step(tokens: list[str], line: int, text: str) -> Step:
-    """The fault of a line that begins with `at`. Raises ValueError."""
+    """Parse a line that begins with `at`. Raises ValueError."""
     rest = tokens[1:]
     if not rest:
-        raise ValueError("at what time?")
+        raise ValueError("'at' needs a time")
     at_us = parse_span(rest.pop(0))
     for_us = 0
     if rest[:1] == ["for"]:
         if len(rest) < 2:
-            raise ValueError("for how long?")
+            raise ValueError("'for' needs a duration")
         for_us = parse_span(rest[1])
         rest = rest[2:]
     if len(rest) < 2 or rest[0] not in FAULTS:
@@ -221,7 +221,7 @@
 
 
 class ParsedArguments(NamedTuple):
-    """The arguments of one fault."""
+    """The parsed arguments of one fault."""
 
     value: float
     link_target: str
@@ -233,7 +233,7 @@
     for argument in syntax.arguments:
         if argument is Argument.LINK_TARGET:
             if tokens[:1] != ["to"] or len(tokens) < 2:
-                raise ValueError(f"behind {described}: to and a target")
+                raise ValueError(f"expected 'to' and a target after {described}")
             link_target = tokens[1]
             tokens = tokens[2:]
         elif argument is Argument.RESTART:
@@ -242,7 +242,7 @@
         else:
             if len(tokens) != 1:
                 fault = described.split()[0]
-                raise ValueError(f"{fault} takes a {argument.value} behind its target")
+                raise ValueError(f"{fault} takes a {argument.value} after its target")
             value = _parse_value(argument, tokens[0])
             tokens = []
     if tokens:
@@ -251,11 +251,11 @@
 
 
 def _parse_restart(described: str, tokens: list[str]) -> float:
-    """After how many microseconds a process is started again; 0 for never."""
+    """Microseconds until a process is restarted; 0 for never."""
     if not tokens:
         return 0.0
     if tokens[0] != "back" or len(tokens) != 2:
-        raise ValueError(f"behind {described}: back and a span, or nothing")
+        raise ValueError(f"expected 'back' and a span, or nothing, after {described}")
     return float(parse_span(tokens[1]))
 
 
--- a/juniperreel/fakes/store.py
+++ b/juniperreel/fakes/store.py
@@ -1,7 +1,6 @@
-"""The data of a fake endpoint: rows in an in-memory SQLite database, and the commits they come from.
+"""The data of a fake endpoint: an in-memory SQLite database, and the commits applied to it.
 
-Each row carries the identifier of the request that wrote it, so that a result shows which commits it
-contains.
+Each row has the identifier of the request that wrote it, so that a result shows which commits it contains.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """One entry of a group's log. `position` is microseconds on the group's clock."""
+    """An entry of a group's log. `position` is in microseconds on the group's clock."""
 
     epoch: int
     position: int
@@ -39,11 +38,11 @@
 
 
 class Store:
-    """Applies commits in order and executes statements on what is applied."""
+    """Applies commits in order and executes statements on the resulting data."""
 
     def __init__(self) -> None:
         self._database = self._create_database()
-        self.applied = 0  # number of commits
+        self.applied = 0  # number of commits applied
 
     @staticmethod
     def _create_database() -> sqlite3.Connection:
@@ -52,11 +51,11 @@
         return database
 
     def close(self) -> None:
-        """Release the database."""
+        """Close the database."""
         self._database.close()
 
     def check(self, statement: str, parameters: Sequence[Any], write: bool) -> None:
-        """Raise StatementError for a statement that would fail, without executing it."""
+        """Raise StatementError if a statement is invalid, without executing it."""
         try:
             self._database.execute("explain " + statement, parameters)
         except (sqlite3.Error, sqlite3.Warning) as error:
@@ -82,25 +81,25 @@
         return rows
 
     def fork(self) -> Store:
-        """A copy as of now; changes of either are not seen by the other."""
+        """Copy the current data; later changes to either copy do not affect the other."""
         other = Store()
         self._database.backup(other._database)
         other.applied = self.applied
         return other
 
     def last_insert_id(self) -> int:
-        """The number that the last inserted row was given."""
+        """The row ID of the last inserted row."""
         return int(self._database.execute("select last_insert_rowid()").fetchone()[0])
 
     def execute(self, statement: str, parameters: Sequence[Any]) -> sqlite3.Cursor:
-        """Execute a statement; raises sqlite3's errors.
+        """Execute a statement. Raises sqlite3 errors.
 
-        Writes are allowed on forks only: the group's own data change through `apply`.
+        Writes are allowed on forks only: the endpoint's own data must change through `apply` alone.
         """
         return self._database.execute(statement, parameters)
 
     def rebuild(self, log: Iterable[Commit]) -> None:
-        """Start again from an empty database and apply a log."""
+        """Replace the data by an empty database and apply a log."""
         self._database.close()
         self._database = self._create_database()
         self.applied = 0
@@ -108,7 +107,7 @@
             self.apply(commit)
 
     def query(self, statement: str, parameters: Sequence[Any]) -> values_pb2.ResultSet:
-        """The complete result of a read. Raises StatementError, also for more than `MAX_ROWS` rows."""
+        """The complete result of a read. Raises StatementError, also above `MAX_ROWS` rows."""
         try:
             cursor = self._database.execute(statement, parameters)
             rows = cursor.fetchmany(MAX_ROWS + 1)
@@ -123,7 +122,7 @@
 
 
 def value_to_proto(value: Any) -> values_pb2.Value:
-    """Encode a value of SQLite."""
+    """Encode an SQLite value."""
     match value:
         case None:
             return values_pb2.Value(null=True)
@@ -138,6 +137,6 @@
 
 
 def value_from_proto(value: values_pb2.Value) -> Any:
-    """Decode a value for SQLite."""
+    """Decode a value for use in SQLite."""
     kind = value.WhichOneof("kind")
     return None if kind in (None, "null") else getattr(value, kind)
