--- a/tests/fakes/test_fakes.py
+++ b/tests/fakes/test_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes behave as the tests that use them assume."""
+"""The fakes behave as the tests that use them expect."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         Store().check(statement, ["r"] if "?" in statement else [], write)
 
 
-def test_endpoint_that_was_cut_off_drops_what_the_group_does_not_have() -> None:
+def test_follower_truncates_entries_that_its_primary_does_not_have() -> None:
     old, new = ReplicaState(), ReplicaState()
     shared = [commit(1, "a", key="ka"), commit(2, "b")]
     for replica in (old, new):
@@ -77,39 +77,39 @@
 
 
 @pytest.mark.usefixtures("autojump_clock")
-async def test_warming_endpoint_fails_only_under_more_work_than_it_bears() -> None:
+async def test_warming_endpoint_fails_only_above_its_overload_threshold() -> None:
     def create() -> tuple[CapacityModel, list[bool]]:
-        fell: list[bool] = []
+        failures: list[bool] = []
         settings = EndpointSettings(2, 5, 1, 1, 0.2, 6_000_000, 2.0, 2_000_000)
-        model = CapacityModel(clock, random.Random(1), settings, lambda: fell.append(True))
+        model = CapacityModel(clock, random.Random(1), settings, lambda: failures.append(True))
         model.started_us = clock.now_us()
-        return model, fell
+        return model, failures
 
     clock = Clock(0)
     await trio.sleep(1)
-    cold, fell = create()
-    for _ in range(15):  # 1.5 s of work in 2 s; 2 x 0.2 x 2 cores x 2 s = 1.6 s is borne
-        cold.offer(100_000)
-    assert not fell
+    warming, failures = create()
+    for _ in range(15):  # 1.5 s of work in 2 s; 2 x 0.2 x 2 cores x 2 s = 1.6 s are allowed
+        warming.offer(100_000)
+    assert not failures
     for _ in range(3):
-        cold.offer(100_000)
-    assert fell
-    warm, fell = create()
+        warming.offer(100_000)
+    assert failures
+    warm, failures = create()
     await trio.sleep(6.1)
     for _ in range(1000):
         warm.offer(100_000)
-    assert not fell
+    assert not failures
     assert warm.capacity() == 2.0
 
 
 @pytest.mark.usefixtures("autojump_clock")
-async def test_full_queue_rejects_and_a_cancelled_wait_releases_its_place() -> None:
+async def test_full_queue_rejects_and_cancelled_wait_frees_its_slot() -> None:
     settings = EndpointSettings(1, 1, 1, 1, 0.2, 1, 2.0, 1)
-    machine = CapacityModel(Clock(0), random.Random(1), settings, lambda: None)
+    model = CapacityModel(Clock(0), random.Random(1), settings, lambda: None)
     async with trio.open_nursery() as nursery:
 
         async def busy() -> None:
-            async with machine.core():
+            async with model.core():
                 await trio.sleep(1)
 
         nursery.start_soon(busy)
@@ -117,17 +117,19 @@
         with trio.move_on_after(0.5):
             nursery.start_soon(busy)
             await trio.testing.wait_all_tasks_blocked()
-            assert (machine.in_flight, machine.queued) == (2, 1)
+            assert (model.in_flight, model.queued) == (2, 1)
             with pytest.raises(QueueFullError):
-                async with machine.core():
+                async with model.core():
                     pass
-    assert (machine.in_flight, machine.queued) == (0, 0)
+    assert (model.in_flight, model.queued) == (0, 0)
 
 
 def test_script_is_parsed_into_settings_and_steps() -> None:
-    day = parse("groups 2\nlast 5s # short\n\nat 3s kill g0/primary back 2s\nat 1s for 500ms lose g1/0 25%\n")
-    assert (day["groups"], day["last"], day["members"]) == (2, 5_000_000, 4)
-    first, second = day.steps
+    script = parse(
+        "groups 2\nlast 5s # short\n\nat 3s kill g0/primary back 2s\nat 1s for 500ms lose g1/0 25%\n"
+    )
+    assert (script["groups"], script["last"], script["members"]) == (2, 5_000_000, 4)
+    first, second = script.steps
     assert (first.fault, first.value, first.for_us) == ("lose", 0.25, 500_000)
     assert (second.fault, second.value, second.target) == ("kill", 2_000_000.0, "g0/primary")
 
@@ -157,20 +159,20 @@
 
 
 def test_groups_in_separate_processes_form_one_fleet(tmp_path: Path) -> None:
-    """Both parts publish to one endpoint list; a fault reaches the part whose group it names."""
-    script = tmp_path / "day"
+    """Both parts publish to one endpoint list; a fault is injected in the part that runs its group."""
+    script = tmp_path / "script"
     script.write_text("groups 2\nmembers 2\nlist-delay 10ms\nlast 60s\nat 100ms kill g1/1\n")
     command = [sys.executable, "-m", "juniperreel.cli.main", "standins", str(script), "--processes", "2"]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
         try:
             assert process.stdout is not None
             port = int(process.stdout.readline().rpartition(":")[2])
-            ask = hosts_pb2.FetchRequest(edge="e").SerializeToString()
+            fetch_request = hosts_pb2.FetchRequest(edge="e").SerializeToString()
             with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
                 call = channel.unary_unary("/juniperreel.hosts.v1.Hosts/Fetch")
                 end = time.monotonic() + 30
                 while True:
-                    reply = call(ask, timeout=10, wait_for_ready=True)
+                    reply = call(fetch_request, timeout=10, wait_for_ready=True)
                     hosts = hosts_pb2.FetchResponse.FromString(reply).hosts
                     if {h.id for h in hosts} == {"g0-m0", "g0-m1", "g1-m0", "g1-m1"}:
                         break
@@ -180,23 +182,23 @@
             report = "/juniperreel.member.v1.Member/Report"
             for name, port in ports.items():
                 with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
-                    ask_member = channel.unary_unary(report)
+                    request_report = channel.unary_unary(report)
                     end = time.monotonic() + 30
                     alive = True
                     while name == "g1-m1" and alive and time.monotonic() < end:
                         try:
-                            ask_member(b"", timeout=1)
+                            request_report(b"", timeout=1)
                         except grpc.RpcError:
                             alive = False
                     if name != "g1-m1":
-                        ask_member(b"", timeout=10)
+                        request_report(b"", timeout=10)
                     assert alive == (name != "g1-m1")
         finally:
             process.terminate()
 
 
 async def test_endpoint_that_has_joined_without_data_is_not_promoted() -> None:
-    """The others hang: a group whose newest endpoint took over would have forgotten its commits."""
+    """While all others hang, promoting the new endpoint would lose the group's commits."""
     clock = Clock()
     fleet = Fleet(parse("groups 1\nmembers 3\n"), TcpNetwork(), clock, Recorder())
     async with trio.open_nursery() as nursery:
@@ -205,15 +207,15 @@
         with trio.fail_after(20):
             while not all(endpoint.replica.received for endpoint in group.endpoints):
                 await trio.sleep(0.01)
-        first = list(group.endpoints)
-        for endpoint in first:
+        original = list(group.endpoints)
+        for endpoint in original:
             endpoint.faults.hung = True
         joined = await fleet.add_endpoint(group, warming_up=True)
         with trio.move_on_after(0.3):
             await group.elect()
         assert not joined.claims_primary
-        for endpoint in first:
+        for endpoint in original:
             endpoint.resume()
         with trio.fail_after(20):
-            assert await group.elect() in first
+            assert await group.elect() in original
         nursery.cancel_scope.cancel()
