--- a/juniperreel/fakes/platform_clients.py
+++ b/juniperreel/fakes/platform_clients.py
@@ -81,7 +81,7 @@
         self._edge = ""
         self._stream: trio.abc.Stream | None = None
         self._protocol = ClientConnection("worker", "catalog")
-        self.patience_us = 0  # wait beyond the deadline that is sent to the edge
+        self.deadline_grace_us = 0  # wait beyond the deadline that is sent to the edge
 
     async def run(self, until_us: int, mean_pause_s: float) -> None:
         """Send requests until `until_us`, with a random pause between a response and the next request."""
@@ -138,7 +138,7 @@
         text = statement(request_class, request_id, self._key, self._group, deadline_ms)
         self._record_sent(request_class, request_id, deadline_ms)
         try:
-            with trio.move_on_after(deadline_ms / 1000 + self.patience_us / US):
+            with trio.move_on_after(deadline_ms / 1000 + self.deadline_grace_us / US):
                 await self._stream.send_all(self._protocol.send_query(text.encode()))
                 reply = None
                 while reply is None:
@@ -171,7 +171,7 @@
             TENANT,
             self._group,
             self._key,
-            now + deadline_ms * 1000 + self.patience_us,
+            now + deadline_ms * 1000 + self.deadline_grace_us,
         )
         self._record(sent)
 
--- a/juniperreel/testbed/soak/run.py
+++ b/juniperreel/testbed/soak/run.py
@@ -136,7 +136,7 @@
     def _new_session(self, index: int, mix: Sequence[rec.RequestClass]) -> SoakSession:
         session = super()._new_session(index, mix)
         assert isinstance(session, SoakSession)
-        session.patience_us = LATE_US
+        session.deadline_grace_us = LATE_US
         session.notes = self.notes
         session.was_killed = self._was_killed
         session.lag = self._lag
