--- a/juniperreel/fakes/replication_group.py
+++ b/juniperreel/fakes/replication_group.py
@@ -172,7 +172,7 @@
         )
 
     def _step_down_former_primaries(self, now: float) -> None:
-        """Former primaries give up the role some time after they can reach their group again."""
+        """Former primaries step down some time after they can reach their group again."""
         for endpoint in self.endpoints:
             outdated = endpoint.claims_primary and endpoint is not self.primary and self.primary is not None
             if outdated and _is_reachable(endpoint):
--- a/juniperreel/verification/effects.py
+++ b/juniperreel/verification/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no duplicate effects, no concurrent attempts of a request, retries only as its class allows."""
+"""Rule 2: no duplicate effects, no concurrent attempts by an edge, retries only as the class allows."""
 
 from __future__ import annotations
 
--- a/juniperreel/verification/executions.py
+++ b/juniperreel/verification/executions.py
@@ -48,7 +48,7 @@
         found.extend(_mismatches(serial, intended.get(serial), executed))
     for statement in intended.values():
         if statement.served and statement.serial not in executions:
-            found.append(f"{statement.serial} was served and never executed")
+            found.append(f"{statement.serial} was served but never executed")
         if statement.error in FORBIDDEN_ERRORS:
             found.append(f"{statement.serial} was answered with error {statement.error}")
     return found
@@ -71,7 +71,7 @@
     serial: str, intended: StatementIntended | None, executions: Iterable[StatementExecuted]
 ) -> Iterator[str]:
     if intended is None:
-        yield f"{serial} was executed and nobody requested it"
+        yield f"{serial} was executed but never requested"
         return
     for execution in executions:
         if execution.text != intended.text:
--- a/juniperreel/verification/raft.py
+++ b/juniperreel/verification/raft.py
@@ -99,7 +99,7 @@
         digest = self._digests.get((index, term))
         if digest is None:
             raise SafetyViolationError(
-                f"{node} took a snapshot at {index} of term {term}, which nobody stored"
+                f"{node} took a snapshot at {index} of term {term}, which no node stored"
             )
         if index > self.committed:
             raise SafetyViolationError(f"{node} took a snapshot at {index}, beyond what is committed")
--- a/tests/verification/test_executions.py
+++ b/tests/verification/test_executions.py
@@ -38,7 +38,7 @@
         (1, {"text": "select 2, ?"}, "intended as"),
         (1, {"values": ["s1", "6"]}, "executed with"),
         (1, {"variables": {}}, "its session has"),
-        (1, {"serial": "s9"}, "nobody requested it"),
+        (1, {"serial": "s9"}, "never requested"),
         (2, {"serial": "s1"}, "requested twice"),
         (2, {"error": "1243"}, "error 1243"),
         (2, {"error": "1615"}, "error 1615"),
