--- a/juniperreel/verification/effects.py
+++ b/juniperreel/verification/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no duplicate effects, no concurrent attempts by an edge, retries only as the class allows."""
+"""Rule 2: no duplicate effects, no concurrent attempts of an edge request, retries only as classes allow."""
 
 from __future__ import annotations
 
