--- a/juniperreel/testbed/soak/run.py
+++ b/juniperreel/testbed/soak/run.py
@@ -138,7 +138,7 @@
     def _new_session(self, index: int, classes: Sequence[rec.RequestClass]) -> SoakSession:
         session = super()._new_session(index, classes)
         assert isinstance(session, SoakSession)
-        session.patience_us = MAX_ANSWER_DELAY_US
+        session.deadline_grace_us = MAX_ANSWER_DELAY_US
         session.observations = self.observations
         session.was_killed = self._was_killed
         session.lag = self._lag
--- a/juniperreel/verification/executions.py
+++ b/juniperreel/verification/executions.py
@@ -1,7 +1,7 @@
-"""Whether each statement was executed with its own text, values and session variables.
+"""Checks that each statement was executed with its own text, values and session variables.
 
-What endpoints report as executed is compared with what clients intended, by serial number. Judges records
-alone.
+Statements that endpoints recorded as executed are compared, by serial number, with those that clients sent.
+Only records are used.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 MAX_QUOTED_CHARACTERS = 80
 
-# MySQL's "unknown prepared statement" and "needs to be re-prepared": clients must never see them of
+# MySQL's "unknown prepared statement" and "needs to be re-prepared": clients must never receive these for
 # statements that they prepared.
 FORBIDDEN_ERRORS = ("1243", "1615")
 
 
 @dataclass(slots=True)
 class ExecutionCounts:
-    """How many statements the verdict rests on."""
+    """The numbers of statements, texts and connections that were checked."""
 
     intended: int = 0
     served: int = 0
@@ -48,7 +48,7 @@
         found.extend(_mismatches(serial, intended.get(serial), executed))
     for statement in intended.values():
         if statement.served and statement.serial not in executions:
-            found.append(f"{statement.serial} was served and never executed")
+            found.append(f"{statement.serial} was served but never executed")
         if statement.error in FORBIDDEN_ERRORS:
             found.append(f"{statement.serial} was answered with error {statement.error}")
     return found
@@ -71,7 +71,7 @@
     serial: str, intended: StatementIntended | None, executions: Iterable[StatementExecuted]
 ) -> Iterator[str]:
     if intended is None:
-        yield f"{serial} was executed and nobody requested it"
+        yield f"{serial} was executed but never requested"
         return
     for execution in executions:
         if execution.text != intended.text:
