--- a/juniperreel/rpc/arrival.py
+++ b/juniperreel/rpc/arrival.py
@@ -1,4 +1,7 @@
-"""Estimates since when bytes just read, or connections just accepted, may have waited in their socket."""
+"""Estimates how long received bytes, or accepted connections, may have waited in the socket.
+
+While the event loop is stalled, data waits in the kernel; that time counts towards the deadlines of calls.
+"""
 
 from __future__ import annotations
 
@@ -10,38 +13,38 @@
 
 
 class ArrivalEstimator:
-    """One connection's estimate. Time in the socket counts towards the deadlines of calls."""
+    """Estimates the arrival times of one connection's bytes."""
 
     def __init__(self, stall_monitor: StallMonitor | None, now_us: int) -> None:
-        """`stall_monitor` knows when sockets were polled; without it bytes count as fresh."""
-        self.arrived_after_us = now_us  # what is read next cannot have come before
+        """`stall_monitor` records when sockets were polled; without it, bytes count as just arrived."""
+        self.arrived_after_us = now_us  # lower bound for the arrival of the bytes read next
         self._stall_monitor = stall_monitor
         self._polls_before = 0
 
     def before_read(self) -> None:
-        """A read begins."""
+        """Call before each read."""
         if self._stall_monitor is not None:
             self._polls_before = self._stall_monitor.poll_count
 
     def after_read(self, now_us: int) -> None:
-        """The read has returned bytes."""
+        """Call after each read that returned bytes."""
         stall_monitor = self._stall_monitor
         if stall_monitor is None:
             self.arrived_after_us = now_us
         elif stall_monitor.last_poll_blocked or stall_monitor.poll_count > self._polls_before + 1:
-            # The read had to wait: nothing was there before.
+            # The read had to wait, so the socket was empty before.
             self.arrived_after_us = max(self.arrived_after_us, stall_monitor.ready_since_us)
 
     def on_socket_emptied(self, read_us: int) -> None:
-        """The read at `read_us` took all there was."""
+        """Record that the read at `read_us` left the socket empty."""
         self.arrived_after_us = read_us
 
 
 class TimedListener:
-    """A listener that notes since when each connection may have waited to be accepted."""
+    """A listener that records since when each connection may have waited to be accepted."""
 
     def __init__(self, listener: Listener, stall_monitor: StallMonitor | None, clock: Clock) -> None:
-        """Take over `listener`."""
+        """Take ownership of `listener`."""
         self.port = listener.port
         self._listener = listener
         self._clock = clock
--- a/juniperreel/rpc/call.py
+++ b/juniperreel/rpc/call.py
@@ -1,4 +1,4 @@
-"""One call as its handler sees it, and the headers and trailers that answer it."""
+"""A call on the server, as passed to its handler, and the encoding of its response headers and trailers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from juniperreel.rpc.stream import Stream
 
 CONTENT_TYPE = "application/grpc"
-ENCODINGS = ("identity", "gzip")  # of messages
+ENCODINGS = ("identity", "gzip")  # supported message encodings
 RESPONSE_HEADERS: Headers = [(":status", "200"), ("content-type", CONTENT_TYPE)]
 RESPONSE_BLOCK = encode_headers(RESPONSE_HEADERS)
 
@@ -20,10 +20,10 @@
 
 
 class Call:
-    """One call of a client. Times are microseconds on the clock of `net`."""
+    """One call of a client. Times are in microseconds on the clock of `net`."""
 
     def __init__(self, connection: Connection, stream: Stream, clock: Clock) -> None:
-        """Raises MetadataError for headers that cannot be decoded."""
+        """Raises MetadataError if the headers cannot be decoded."""
         headers = stream.headers or {}
         self.path = headers.get(":path", "")
         self.started_us = stream.arrived_us or clock.now_us()
@@ -32,8 +32,8 @@
         self.deadline_us = None if timeout is None else self.started_us + decode_timeout(timeout)
         self.gzip = headers.get("grpc-encoding") == "gzip"
         self.trailing: list[tuple[str, str | bytes]] = []
-        self.admission: Any = None  # what `Method.admit` returned, until the handler takes it
-        self.deadline_status = DEADLINE_EXCEEDED  # of the call if its deadline passes
+        self.admission: Any = None  # the result of `Method.admit`, until the handler takes it
+        self.deadline_status = DEADLINE_EXCEEDED  # the call's status if its deadline passes
         self._initial: list[tuple[str, str | bytes]] = []
         self._headers_sent = False
         self._connection = connection
@@ -41,42 +41,45 @@
         self._clock = clock
 
     def set_deadline(self, at_us: int, status: RpcError) -> None:
-        """Cancel the handler at `at_us` at the latest, and end the call with `status` then."""
+        """Cancel the handler at `at_us` at the latest, and end the call with `status` if it is cancelled."""
         self.deadline_status = status
         scope = self._stream.handler_scope
         if scope is not None:
             scope.deadline = min(scope.deadline, self._clock.trio_time(at_us))
 
     def take_admission(self) -> Any:
-        """What `Method.admit` returned; the caller must release it from now on."""
+        """Return the result of `Method.admit`; the caller becomes responsible for releasing it."""
         admission = self.admission
         self.admission = None
         return admission
 
     def get(self, name: str) -> str | bytes | None:
-        """The last value of a metadata name."""
+        """Return the last value of a metadata key, or None."""
         values = self.all(name)
         return values[-1] if values else None
 
     def all(self, name: str) -> list[str | bytes]:
-        """All values of a metadata name."""
+        """Return all values of a metadata key."""
         return [value for key, value in self.metadata if key == name]
 
     def initial(self, metadata: Metadata) -> None:
-        """Metadata to send ahead of the first message."""
+        """Add initial metadata, which is sent before the first message."""
         self._initial.extend(metadata)
 
     async def receive(self) -> bytes | None:
-        """The next message of the client, or None when it sends no more."""
+        """Return the client's next message, or None after its last one."""
         return await self._stream.message()
 
     async def send(self, message: bytes) -> None:
-        """Send a message, the headers ahead of the first. Raises what ended the stream."""
+        """Send a message, preceded by the headers if it is the first.
+
+        Raises the error that ended the stream.
+        """
         self._send_headers()
         await self._connection.send_message(self._stream, message, gzip=self.gzip)
 
     def break_connection(self, reason: str) -> None:
-        """End the whole connection under the call at once, as a dying process would."""
+        """Close the call's connection immediately, as if the process had crashed."""
         self._connection.abort(reason)
 
     def _send_headers(self) -> None:
@@ -90,7 +93,7 @@
         self._connection.send_block(self._stream, block)
 
     def finish(self, error: RpcError | None) -> None:
-        """Send the trailers; in one block with the headers where nothing was sent before."""
+        """Send the trailers; in one block with the headers if those were not sent before."""
         headers: Headers = []
         if not self._headers_sent:
             headers += RESPONSE_HEADERS + encode_metadata(self._initial)
@@ -99,7 +102,7 @@
 
 
 def trailers(error: RpcError | None, trailing: Metadata = ()) -> Headers:
-    """The trailers of a call that ended with `error`, or OK. Raises MetadataError."""
+    """Return the trailers of a call that ended with `error`, or with OK. Raises MetadataError."""
     if error is None:
         return [("grpc-status", "0"), *encode_metadata(trailing)]
     headers = [("grpc-status", str(int(error.code)))]
@@ -112,5 +115,5 @@
 
 
 def encode_rejection(error: RpcError) -> bytes:
-    """A response without a message, encoded for `Method.shed_early`; it may be sent many times."""
+    """Encode a Trailers-Only response for `Method.shed_early`; the block can be sent on any connection."""
     return encode_headers([(name, value) for name, value in RESPONSE_HEADERS + trailers(error)])
--- a/juniperreel/rpc/channel.py
+++ b/juniperreel/rpc/channel.py
@@ -1,7 +1,7 @@
-"""The client side: calls on one address, over one connection that is opened when a call needs it.
+"""gRPC client channel: calls to one address over one connection, which is opened on demand.
 
-A call that did not end with a status raises `CallUnprocessedError` where the peer cannot have processed it,
-and `CallInterruptedError` where it may have. Never retries a call: that is a decision of the caller's.
+A call that ends without a status raises `CallUnprocessedError` if the peer cannot have processed it, and
+`CallInterruptedError` if it may have. Calls are never retried here; that is left to the caller.
 """
 
 from __future__ import annotations
@@ -31,39 +31,39 @@
 from juniperreel.rpc.status import Code, RpcError, code_of, decode_message, unpack_details
 from juniperreel.rpc.stream import Stream
 
-RESET_FLUSH_US = 20_000  # how long a cancelled call may wait for its RST_STREAM to be written
+RESET_FLUSH_US = 20_000  # maximum time that a cancelled call waits for its RST_STREAM to be written
 MAX_BACKOFF_DOUBLINGS = 20
 MIN_BACKOFF_SHARE = 0.5
 
 
 class CallUnprocessedError(TransportError):
-    """The peer did not see the call, or says that it never processed it."""
+    """The peer did not receive the call, or says that it did not process it."""
 
 
 class CallInterruptedError(TransportError):
-    """The connection or the stream broke after the peer may have seen the call."""
+    """The connection or the stream broke when the peer may have received the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Delays between attempts to connect, doubling from `first_us` to `cap_us`.
+    """Exponential backoff between attempts to connect, from `first_us` to `cap_us`.
 
-    Each is drawn from its upper half at random, so that clients which lost a peer together do not reconnect
-    together.
+    Each delay is drawn at random from the upper half of its range, so that clients which lost the same peer
+    do not reconnect at the same time.
     """
 
     first_us: int = 20_000
     cap_us: int = 1_000_000
 
     def delay_us(self, failures: int, rng: random.Random) -> int:
-        """The delay after so many failures in a row."""
+        """Return the delay after `failures` consecutive failures."""
         doubled = self.first_us << min(failures - 1, MAX_BACKOFF_DOUBLINGS)
         return int(min(doubled, self.cap_us) * rng.uniform(MIN_BACKOFF_SHARE, 1.0))
 
 
 @dataclass(slots=True)
 class Reply:
-    """The response of a unary call, with its metadata ahead of the message and behind it."""
+    """The response of a unary call, with its initial and trailing metadata."""
 
     message: bytes
     initial: list[tuple[str, str | bytes]]
@@ -71,7 +71,7 @@
 
 
 class Channel:
-    """Calls on one peer. `run` must be running for calls to be made."""
+    """Makes calls to one peer. `run` must be running."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         connect_timeout_us: int = 1_000_000,
         backoff: Backoff | None = None,
     ) -> None:
-        """`rng` draws the delays between attempts to connect."""
+        """`rng` randomizes the delays between attempts to connect."""
         self.authority = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.connect_attempts = 0
         self.closed = False
@@ -105,17 +105,17 @@
         self._nursery: trio.Nursery | None = None
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Hold the connection until cancelled or closed."""
+        """Own the connection's tasks until cancelled or closed."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             try:
                 await trio.sleep_forever()
             finally:
-                # Danger: the owner ends this by cancelling it; a call made after that must find it closed.
+                # The owner may cancel this task instead of calling `close`; calls made after that must fail.
                 self.closed = True
 
     def close(self) -> None:
-        """End the connection and all calls at once."""
+        """Close the connection immediately, failing all calls."""
         self.closed = True
         if self._nursery is not None:
             self._nursery.cancel_scope.cancel()
@@ -129,9 +129,9 @@
     # Connecting.
 
     async def connection(self) -> Connection:
-        """The live connection, opened if there is none.
+        """Return the open connection; connect if there is none.
 
-        Raises ConnectError, at once while the delay after a failed attempt lasts.
+        Raises ConnectError, and does so without a new attempt during the backoff after a failed one.
         """
         while True:
             if self._connection is not None and not self._connection.going_away:
@@ -149,11 +149,11 @@
                 raise self._repeated_error()
 
     def _repeated_error(self) -> ConnectError:
-        """The last attempt's error, as a new exception for each call that it fails."""
+        """Return the last attempt's error, as a new exception for each call that fails with it."""
         return type(self._last_error)(str(self._last_error))
 
     async def _open(self, done: trio.Event) -> None:
-        """One attempt for all calls that wait; their own cancellation does not end it."""
+        """Make one attempt to connect for all waiting calls; it goes on if any of them is cancelled."""
         self.connect_attempts += 1
         try:
             self._connection = await self._connect()
@@ -178,7 +178,7 @@
         with trio.move_on_after(self._connect_timeout_us / US_PER_S):
             await connection.settings_received.wait()
         if not connection.settings_received.is_set() or connection.closed.is_set():
-            # Danger: a peer that accepts connections and never speaks looks alive to TCP.
+            # TCP alone cannot detect a peer that accepts connections but never sends anything.
             connection.abort("no SETTINGS in time")
             reason = connection.close_reason
             raise ConnectTimedOutError(f"{self.authority} accepts connections and does not speak: {reason}")
@@ -186,13 +186,13 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a call would find a live connection."""
+        """Whether there is an open connection that accepts new calls."""
         return self._connection is not None and not self._connection.going_away
 
     # Calls.
 
     def _block(self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool) -> bytes:
-        """The encoded headers of a call."""
+        """Return the encoded headers of a call."""
         block = self._call_blocks.get((path, gzip))
         if block is None:
             block = self._encode_call_block(path, gzip)
@@ -204,7 +204,7 @@
         return block
 
     def _encode_call_block(self, path: str, gzip: bool) -> bytes:
-        """What the headers of all calls of a path have in common."""
+        """Encode the headers that all calls of a path share."""
         headers = [
             (":method", "POST"),
             (":scheme", "http"),
@@ -228,8 +228,8 @@
     ) -> Reply:
         """Send one message and receive one.
 
-        `timeout_us` is announced to the peer; the caller's own cancel scope is what ends the wait. Cancelled,
-        it resets the stream and waits a moment for that to be written.
+        `timeout_us` is only sent to the peer; the caller must limit its own wait with a cancel scope. If
+        cancelled, the call resets its stream and waits up to `RESET_FLUSH_US` until that is written.
         Raises RpcError, ConnectError, CallUnprocessedError or CallInterruptedError.
         """
         async with self._stream(path, metadata, timeout_us, gzip) as (connection, stream):
@@ -247,7 +247,7 @@
     ) -> AsyncIterator[AsyncIterator[bytes]]:
         """Send one message and receive many.
 
-        The context's value iterates over them; its end raises any status but OK.
+        Yields an iterator over the received messages, which raises RpcError at its end for any status but OK.
         """
         async with self._stream(path, metadata, timeout_us, False) as (connection, stream):
             await connection.send_message(stream, message, end=True)
@@ -269,7 +269,7 @@
     async def _stream(
         self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool
     ) -> AsyncIterator[tuple[Connection, Stream]]:
-        """A stream opened for one call, and dropped or reset at the end."""
+        """Open a stream for one call; remove or reset it at the end."""
         block = self._block(path, metadata, timeout_us, gzip)
         connection = await self.connection()
         stream: Stream | None = None
@@ -295,12 +295,12 @@
 
 
 def call_error(text: str, processed: bool) -> TransportError:
-    """The error of a call without a status; `processed`: whether the peer may have processed it."""
+    """Return the error of a call without a status; `processed`: whether the peer may have processed it."""
     return CallInterruptedError(text) if processed else CallUnprocessedError(text)
 
 
 def trailing_metadata(stream: Stream) -> list[tuple[str, str | bytes]]:
-    """The trailing metadata of a call that ended OK. Raises RpcError for any other status."""
+    """Return the trailing metadata of a call that ended with OK. Raises RpcError for any other status."""
     headers = stream.raw_headers if stream.trailers is None else stream.trailers
     fields = dict(headers)
     http_status = (stream.headers or {}).get(":status")
@@ -317,7 +317,7 @@
 
 
 def status_details(fields: dict[str, str]) -> list[Message]:
-    """The google.rpc details of a status; empty if there are none, or they are malformed."""
+    """Return the google.rpc details of a status; empty if there are none or they are malformed."""
     encoded = fields.get("grpc-status-details-bin")
     if encoded is None:
         return []
--- a/juniperreel/rpc/connection.py
+++ b/juniperreel/rpc/connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/2 connection, either side: the protocol state of `http2` with the trio tasks around it.
+"""One HTTP/2 connection, client or server: the protocol state of `http2` and the trio tasks that drive it.
 
-Owns the socket, the streams open on it, flow control and keepalive. Knows headers, messages and resets; must
-never know services, retries or addresses. All state belongs to one trio thread, and the protocol state is
-never used across a checkpoint, so no locks are needed.
+Owns the socket, the open streams, flow control and keepalive. Handles headers, messages and resets; services,
+retries and addresses belong to the callers. All state is used by one trio thread, and no operation on the
+protocol state spans a checkpoint, so no locks are needed.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 from juniperreel.rpc.writer import ConnectionWriter
 
 READ_BYTES = 64 << 10
-PACED_READ_BYTES = 16 << 10  # from peers whose new requests have to wait for their turn
-MAX_DATA_FRAME = 16 << 10  # peers that take frames of megabytes would let one stream fill the buffer
-RESERVED_STREAM_IDS = 1000  # are left unused, so that no stream fails for want of an id
-LINGER_S = 1.0  # for a peer that still writes to read our last frames
+PACED_READ_BYTES = 16 << 10  # per read where the stall monitor limits the work of each event loop pass
+MAX_DATA_FRAME = 16 << 10  # even if the peer allows more, so that one stream cannot fill the send buffer
+RESERVED_STREAM_IDS = 1000  # left unused, so that no stream fails because the ids have run out
+LINGER_S = 1.0  # time for a peer that is still writing to read our last frames
 CLOSE_TIMEOUT_S = 1
 MAX_REASON_CHARACTERS = 300
 
 
 class Connection:
-    """One connection. `run` does its work; the other methods may be called meanwhile by any task."""
+    """One connection. `run` must be running; any task may call the other methods meanwhile."""
 
     def __init__(
         self,
@@ -52,24 +52,25 @@
     ) -> None:
         """`on_request` is called for each new stream of the peer.
 
-        The stream then holds all that was read together with its headers. With a `stall_monitor`, what is
-        read waits for its turn. `waiting_since_us`: since when it may have waited to be accepted.
+        The stream then holds everything that was read together with its headers. With a `stall_monitor`,
+        received bytes are processed within its budget for new work. `waiting_since_us` is the time since
+        which the connection may have waited to be accepted.
         """
         self.limits = limits
         self.client = client
         self.clock = clock
         self.streams: dict[int, Stream] = {}
         self.buffered_bytes = 0
-        self.settings_received = trio.Event()  # the peer's, or the connection has ended without them
+        self.settings_received = trio.Event()  # also set if the connection ends before the peer's SETTINGS
         self.closed = trio.Event()
         self.close_reason = ""
-        self.going_away = False  # no new streams: one of the sides said GOAWAY
+        self.going_away = False  # no new streams: a GOAWAY was sent or received, or the connection ended
         self.stream_closed = Wakeup()
         self._transport = transport
         self._on_request = on_request
         self._stall_monitor = stall_monitor
         self._new_streams: list[Stream] = []
-        self._blocked_senders = 0  # that wait for a window
+        self._blocked_senders = 0  # waiting for a flow-control window
         self._guard = AbuseGuard(limits)
         self._protocol = Http2Protocol(client, limits)
         self._writer = ConnectionWriter(self._protocol, transport, limits, self.abort)
@@ -78,10 +79,10 @@
         self._keepalive = Keepalive(limits, clock, lambda: bool(self.streams), self._send_ping, self.abort)
         self._scope: trio.CancelScope | None = None
 
-    # Its life.
+    # Lifecycle.
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run until the connection ends, for whatever reason; never raises for what the peer does."""
+        """Run until the connection ends; never raises because of what the peer does."""
         self._writer.flush()
         try:
             with trio.CancelScope() as self._scope:
@@ -111,37 +112,38 @@
         self.stream_closed.wake()
 
     def _set_close_reason(self, reason: str) -> None:
-        """The first reason is the one that counts."""
+        """Set the reason, unless an earlier one was set."""
         self.close_reason = self.close_reason or reason
 
     def abort(self, reason: str) -> None:
-        """End it now; what waits to be written is dropped."""
+        """Close the connection immediately, discarding unsent data."""
         self._set_close_reason(reason)
         if self._scope is not None:
             self._scope.cancel()
 
     def go_away(self, code: int = ErrorCode.NO_ERROR, debug: bytes = b"") -> None:
-        """Take no new streams and say so. Streams up to the last one taken may finish."""
+        """Send GOAWAY and accept no new streams. Streams accepted before may finish."""
         if not self.closed.is_set():
             self.going_away = True
             self._protocol.send_goaway(code, debug)
             self._writer.flush()
 
     async def finish(self) -> None:
-        """Shut down gracefully: GOAWAY, wait for the streams, write what is queued, close."""
+        """Shut down gracefully: send GOAWAY, wait for the open streams, write queued data, close."""
         self.go_away()
         while self.streams and not self.closed.is_set():
             await self.stream_closed.wait()
         if not self.client:
-            # Danger: requests that the peer sent before it saw the GOAWAY would meet a closed socket, whose
-            # reset does not tell which were processed. So they are rejected singly until the peer has closed.
+            # Requests that the peer sent before it read the GOAWAY would reach a closed socket, whose reset
+            # does not tell which of them were processed. So the connection stays open, and rejects each of
+            # them with REFUSED_STREAM, until the peer closes it.
             with trio.move_on_after(LINGER_S):
                 await self.closed.wait()
         self._writer.finish()
         await self.closed.wait()
 
     async def wait_written(self, timeout_us: int) -> None:
-        """Wait until all that is queued now has been taken by the socket, at most `timeout_us`."""
+        """Wait until all currently queued data is written to the socket, at most `timeout_us`."""
         target = self._writer.queued
         with trio.move_on_after(timeout_us / US_PER_S):
             await self._writer.wait_written(target, self.closed)
@@ -164,14 +166,14 @@
             try:
                 await self._process(data)
             except Exception as error:
-                # Danger: whatever a peer sends must not end more than its connection.
+                # Whatever a peer sends, an error must not affect more than its own connection.
                 await self._close_after_error(error)
                 return
             if len(data) < size:
                 self._arrival.on_socket_emptied(self._keepalive.last_received_us)
 
     async def _receive(self, size: int) -> bytes | bytearray:
-        """Some bytes; empty at the end of the connection."""
+        """Return received bytes; empty at the end of the connection."""
         try:
             data = await self._transport.receive_some(size)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
@@ -201,10 +203,10 @@
         self._writer.flush()
 
     async def _close_after_error(self, error: Exception) -> None:
-        """Close the connection of a peer that broke the protocol, once it could read why.
+        """Close the connection of a peer that broke the protocol, after giving it time to read the GOAWAY.
 
-        Danger: a socket that is closed while the peer still writes is reset, and the reset discards what the
-        peer has not read yet: the GOAWAY. So what it sends is read for a moment, and dropped.
+        A socket that is closed while the peer still writes is reset, and the reset discards what the peer has
+        not read yet, such as the GOAWAY. So received data is read and discarded for up to `LINGER_S`.
         """
         text = f"the peer broke the protocol: {type(error).__name__}: {error}"
         self._set_close_reason(text[:MAX_REASON_CHARACTERS])
@@ -315,7 +317,10 @@
         self.stream_closed.wake()
 
     def _on_goaway(self, event: events.ConnectionTerminated) -> None:
-        """Streams above the last one were not processed (RFC 9113, 6.8) and may go elsewhere at once."""
+        """Fail the streams above the last one, which were not processed (RFC 9113, 6.8).
+
+        Their calls can be retried elsewhere immediately.
+        """
         self.going_away = True
         if self.client:
             for stream in [s for s in self.streams.values() if s.number > event.last_stream]:
@@ -332,7 +337,7 @@
         self.stream_closed.wake()
 
     def _check_abuse(self, complaint: str | None) -> None:
-        """Raises AbusivePeerError where there is a complaint."""
+        """Send GOAWAY and raise AbusivePeerError if AbuseGuard returned a complaint."""
         if complaint is not None:
             self.go_away(ErrorCode.ENHANCE_YOUR_CALM, complaint.encode())
             raise AbusivePeerError(complaint)
@@ -340,15 +345,15 @@
     # Streams.
 
     def acknowledge(self, stream: Stream, count: int) -> None:
-        """Give `count` bytes that were taken from a stream back to the peer's windows."""
+        """Return `count` bytes that were consumed from a stream to the peer's flow-control windows."""
         if count and not self.closed.is_set():
             self._protocol.acknowledge_received_data(stream.number, count)
             self._writer.flush()
 
     async def open(self, block: bytes) -> Stream:
-        """Open a stream with a block of headers, as `encode_headers` makes it.
+        """Open a stream with a header block that `encode_headers` returned.
 
-        Waits while the peer allows no more streams. Raises ConnectionLostError.
+        Waits while the peer's limit of concurrent streams is reached. Raises ConnectionLostError.
         """
         while not self.going_away and not self._protocol.can_open_stream():
             await self.stream_closed.wait()
@@ -370,7 +375,7 @@
         self.send_block(stream, encode_headers(headers), end)
 
     def send_block(self, stream: Stream, block: bytes, end: bool = False) -> None:
-        """Send headers that were encoded before, by `encode_headers`."""
+        """Send a header block that `encode_headers` returned."""
         if stream.closed or self.closed.is_set():
             return
         if not self._protocol.is_open(stream.number):
@@ -384,12 +389,15 @@
     async def send_message(
         self, stream: Stream, message: bytes, end: bool = False, gzip: bool = False
     ) -> None:
-        """Send a message, as flow control and the send buffer allow. Raises what ended the stream."""
+        """Send a message, waiting for flow control and the send buffer.
+
+        Raises the error that ended the stream.
+        """
         data = memoryview(frame_message(message, gzip))
         while True:
             size = await self._wait_for_capacity(stream, len(data))
             last = size == len(data)
-            # Danger: grpcio measures bandwidth with pings while it receives; those are no offence.
+            # grpcio measures the bandwidth with pings while it receives; those do not count as abuse.
             self._guard.on_activity()
             self._protocol.send_data(stream.number, bytes(data[:size]), end and last)
             self._writer.flush()
@@ -400,7 +408,7 @@
             self._on_sending_ended(stream)
 
     async def _wait_for_capacity(self, stream: Stream, wanted: int) -> int:
-        """Wait until some of `wanted` bytes may be sent; returns how many."""
+        """Wait until at least one of `wanted` bytes may be sent; returns how many may be."""
         while True:
             if stream.failure is not None:
                 raise stream.failure
@@ -425,24 +433,24 @@
         if self.client:
             return
         if not stream.ended:
-            # RFC 9113, 8.1: the rest of the request is not wanted.
+            # The response is complete, so the client need not send the rest of its request (RFC 9113, 8.1).
             self._reset(stream.number, ErrorCode.NO_ERROR)
         self.drop(stream)
 
     def drop(self, stream: Stream) -> None:
-        """Forget a stream that is done."""
+        """Remove a stream that is complete."""
         stream.close()
         if self.streams.pop(stream.number, None) is not None:
             self.stream_closed.wake()
             self._finish_when_idle()
 
     def _finish_when_idle(self) -> None:
-        """A client closes a connection that takes no more streams; its server waits for that."""
+        """On the client, close a connection that accepts no more streams; its server waits for that."""
         if self.client and self.going_away and not self.streams:
             self._writer.finish()
 
     def reset(self, stream: Stream, code: int = ErrorCode.CANCEL) -> None:
-        """Reset a stream and forget it."""
+        """Reset a stream and remove it."""
         if stream.number in self.streams:
             self.drop(stream)
             self._reset(stream.number, code)
--- a/juniperreel/rpc/errors.py
+++ b/juniperreel/rpc/errors.py
@@ -1,14 +1,17 @@
-"""How a connection or one of its streams ends without a gRPC status."""
+"""Errors of connections and streams that end without a gRPC status."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """Base of the errors of connections and streams."""
+    """Base class of the errors of connections and streams."""
 
 
 class ConnectionLostError(TransportError):
-    """The connection ended under a stream. `sent`: whether the peer may have seen the stream at all."""
+    """The connection ended while the stream was open.
+
+    `sent` is False if the peer cannot have received any of the stream's frames.
+    """
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -16,7 +19,7 @@
 
 
 class StreamResetError(TransportError):
-    """The peer reset the stream. `processed` is False where it says that it never processed it."""
+    """The peer reset the stream. `processed` is False if the peer says that it did not process it."""
 
     def __init__(self, code: int, processed: bool) -> None:
         super().__init__(f"stream reset with HTTP/2 error {code}")
@@ -25,4 +28,4 @@
 
 
 class AbusivePeerError(TransportError):
-    """The peer exceeds what AbuseGuard allows; the connection ends."""
+    """The peer exceeded a limit of AbuseGuard; the connection is closed."""
--- a/juniperreel/rpc/flow_control.py
+++ b/juniperreel/rpc/flow_control.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-DEFAULT_WINDOW = 65_535  # bytes, until settings or updates change it
+DEFAULT_WINDOW = 65_535  # bytes, unless SETTINGS or WINDOW_UPDATE change it
 
 
 class ReceiveWindow:
-    """What the peer may send, on a stream or on the whole connection."""
+    """The bytes that the peer may send on a stream or on the whole connection."""
 
     __slots__ = ("available", "owed", "size")
 
@@ -14,12 +14,12 @@
         """`size` in bytes."""
         self.size = size
         self.available = size
-        self.owed = 0  # bytes taken, to be given back with the next update
+        self.owed = 0  # consumed bytes that the next WINDOW_UPDATE returns
 
     def give_back(self, count: int) -> int:
-        """Note that `count` bytes were taken.
+        """Record that `count` bytes were consumed.
 
-        Returns the increment to announce, once half a window is owed; 0 until then.
+        Returns the increment to send in a WINDOW_UPDATE, once it is at least half the window; 0 until then.
         """
         self.owed += count
         if 2 * self.owed < self.size:
--- a/juniperreel/rpc/frames.py
+++ b/juniperreel/rpc/frames.py
@@ -1,4 +1,4 @@
-"""HTTP/2 frames (RFC 9113, sections 4 and 6): their numbers, and cutting bytes into them. No I/O."""
+"""HTTP/2 frames (RFC 9113, sections 4 and 6): constants, encoding, and parsing of received bytes. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FrameType(IntEnum):
-    """Frames of other types are ignored (RFC 9113, 4.1)."""
+    """Frame types. Frames of other types are ignored (RFC 9113, 4.1)."""
 
     DATA = 0
     HEADERS = 1
@@ -30,7 +30,7 @@
     CONTINUATION = 9
 
 
-# Flags; what the first bit means depends on the frame's type.
+# Flags. The meaning of the first bit depends on the frame type.
 END_STREAM = 0x1  # DATA and HEADERS
 ACK = 0x1  # SETTINGS and PING
 END_HEADERS = 0x4
@@ -39,7 +39,7 @@
 
 
 class ErrorCode(IntEnum):
-    """Codes of RST_STREAM and GOAWAY; peers may send others."""
+    """Error codes of RST_STREAM and GOAWAY. Peers may send others."""
 
     NO_ERROR = 0
     PROTOCOL_ERROR = 1
@@ -56,7 +56,7 @@
 
 
 class Setting(IntEnum):
-    """Identifiers in SETTINGS; others are ignored."""
+    """Identifiers of SETTINGS parameters. Others are ignored."""
 
     HEADER_TABLE_SIZE = 1
     ENABLE_PUSH = 2
@@ -83,7 +83,7 @@
 
 
 class Frame(NamedTuple):
-    """One frame as it came."""
+    """One received frame."""
 
     kind: int
     flags: int
@@ -92,13 +92,13 @@
 
 
 def encode_frame(kind: int, flags: int, stream: int, payload: bytes) -> bytes:
-    """A frame's bytes."""
+    """Encode one frame."""
     size = len(payload)
     return bytes((size >> 16, size >> 8 & 255, size & 255, kind, flags)) + UINT32.pack(stream) + payload
 
 
 def remove_padding(frame: Frame) -> bytes:
-    """The payload without its padding. Raises Http2Error."""
+    """Return the payload without padding. Raises Http2Error."""
     payload = frame.payload
     if not frame.flags & PADDED:
         return payload
@@ -111,23 +111,23 @@
 
 
 def check_dependency(stream: int, priority: bytes) -> None:
-    """Check the stream that a priority depends on; nothing else of it is used. Raises Http2Error."""
+    """Check the stream dependency of a priority, the rest of which is ignored. Raises Http2Error."""
     if UINT32.unpack_from(priority)[0] & MAX_31_BITS == stream:
         raise Http2Error(ErrorCode.PROTOCOL_ERROR, "a stream that depends on itself")
 
 
 class FrameReader:
-    """Cuts received bytes into frames; holds at most one incomplete frame."""
+    """Splits received bytes into frames; buffers at most one incomplete frame."""
 
     def __init__(self, expects_preface: bool) -> None:
-        """`expects_preface`: of a client, ahead of its first frame."""
+        """`expects_preface` is True on servers, as a client sends the preface before its first frame."""
         self._expects_preface = expects_preface
         self._incomplete = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The frames that are complete with `data`; must be iterated to its end.
+        """Yield the frames that `data` completes; the iterator must be exhausted.
 
-        Raises Http2Error for bytes that are not HTTP/2 and for frames that are too large.
+        Raises Http2Error for bytes that are not HTTP/2, and for frames that are too large.
         """
         if self._incomplete:
             self._incomplete += data
--- a/juniperreel/rpc/framing.py
+++ b/juniperreel/rpc/framing.py
@@ -1,7 +1,7 @@
-"""Length-prefixed messages (PROTOCOL-HTTP2, "Length-Prefixed-Message"), free of I/O.
+"""Length-prefixed messages (PROTOCOL-HTTP2, "Length-Prefixed-Message"). No I/O.
 
-Each message is a flag byte, a length of four bytes, and that many bytes; a set flag means that they
-are compressed as grpc-encoding says.
+Each message is a flag byte, a four-byte length, and that many bytes; if the flag is set, they are compressed
+with the algorithm that grpc-encoding names.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 COMPRESSED = 1
 GZIP_WBITS = 31
 GZIP_LEVEL = 1
-MIN_COMPRESSED_BYTES = 512  # below, gzip's own header costs more than is gained
+MIN_COMPRESSED_BYTES = 512  # for smaller messages, gzip's header outweighs the saving
 
 
 def frame_message(message: bytes, compress: bool = False) -> bytes:
-    """The message with its prefix; compressed only where that makes it shorter."""
+    """Return the message with its prefix; compressed only if that makes it shorter."""
     if compress and len(message) >= MIN_COMPRESSED_BYTES:
         compressed = gzip_compress(message)
         if len(compressed) < len(message):
@@ -29,15 +29,15 @@
 
 
 def gzip_compress(message: bytes) -> bytes:
-    """The message in gzip's format."""
+    """Return the message in gzip format."""
     compressor = zlib.compressobj(GZIP_LEVEL, zlib.DEFLATED, GZIP_WBITS)
     return compressor.compress(message) + compressor.flush()
 
 
 def gzip_decompress(data: bytes, limit: int) -> bytes:
-    """A message of at most `limit` bytes. Raises RpcError.
+    """Decompress a message of at most `limit` bytes. Raises RpcError.
 
-    Danger: a few bytes may expand to gigabytes; decompression stops at the limit.
+    Decompression stops at the limit, because a few bytes may expand to gigabytes.
     """
     decompressor = zlib.decompressobj(GZIP_WBITS)
     try:
@@ -52,10 +52,13 @@
 
 
 class Deframer:
-    """Bytes in, complete messages out. Holds at most one message of `limit` bytes and what follows it."""
+    """Splits received bytes into messages.
+
+    Buffers at most one message of `limit` bytes and the bytes received after it.
+    """
 
     def __init__(self, limit: int, encoding: str | None) -> None:
-        """`encoding`: the peer's grpc-encoding."""
+        """`encoding` is the peer's grpc-encoding."""
         self._limit = limit
         self._encoding = encoding or "identity"
         self._data = bytearray()
@@ -65,9 +68,9 @@
         self._data += data
 
     def single_message(self, data: bytes) -> bytes | None:
-        """The message if `data` is exactly one, uncompressed, and nothing waits.
+        """Return the message if `data` is exactly one uncompressed message and the buffer is empty.
 
-        Else None, and `data` was not added. Spares the common case two copies.
+        Otherwise return None, without buffering `data`. Avoids two copies in the common case.
         """
         if self._data or len(data) < PREFIX.size or data[0]:
             return None
@@ -77,15 +80,15 @@
         return data[PREFIX.size :]
 
     def next_message(self) -> bytes | None:
-        """The next complete message, or None until more bytes come.
+        """Return the next complete message, or None if more bytes are needed.
 
-        Raises RpcError, after which it must not be used again.
+        Raises RpcError, after which the deframer must not be used.
         """
         if len(self._data) < PREFIX.size:
             return None
         flag, size = PREFIX.unpack_from(self._data)
         if size > self._limit:
-            # Danger: a prefix may announce 4 GB; no memory is reserved for what has not arrived.
+            # A prefix may announce up to 4 GB, so no memory is allocated for bytes that have not arrived.
             raise RpcError(
                 Code.RESOURCE_EXHAUSTED, f"a message of {size} bytes; at most {self._limit} are taken"
             )
@@ -104,5 +107,5 @@
 
     @property
     def empty(self) -> bool:
-        """Whether no incomplete message waits."""
+        """Whether no bytes are buffered."""
         return not self._data
--- a/juniperreel/rpc/header_blocks.py
+++ b/juniperreel/rpc/header_blocks.py
@@ -1,7 +1,7 @@
-"""HPACK header blocks, encoded and decoded with as little repeated work as the protocol allows (RFC 7541).
+"""Cached encoding and decoding of HPACK header blocks (RFC 7541), on top of the hpack library.
 
-HPACK itself is the hpack library's. Blocks sent never depend on a table, so that each header is encoded once
-for all connections; a block that was received before is not decoded again while the peer's table stands.
+Sent blocks never use the dynamic table, so that each header is encoded once for all connections. A received
+block is cached, and not decoded again as long as the peer's dynamic table does not change.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from juniperreel.rpc.metadata import Headers
 
 DEFAULT_TABLE_BYTES = 4_096
-CACHED_BLOCKS = 512  # for each connection; more distinct ones mean that they are not worth caching
+CACHED_BLOCKS = 512  # per connection; with more distinct blocks, caching does not pay
 CACHED_BLOCK_BYTES = 2_048  # longer blocks are not cached
 
-# HPACK's "dynamic table size update" to 0 (RFC 7541, 4.2 and 6.3), which our blocks can do with.
+# HPACK's "dynamic table size update" to 0 (RFC 7541, 4.2 and 6.3); our blocks do not use the table.
 EMPTY_TABLE_UPDATE = b"\x20"
 
 
 class HeaderBlock:
-    """A decoded block of headers; shared by all streams that came with the same bytes, so never changed."""
+    """A decoded header block. Shared by all streams that sent the same bytes, so it must not be modified."""
 
     __slots__ = ("fields", "headers", "request_length")
 
     def __init__(self, headers: Headers) -> None:
-        """`headers` in their order; `fields` has the last value of each name."""
+        """`headers` are in their original order; `fields` has the last value of each name."""
         self.headers = headers
         self.fields = dict(headers)
-        self.request_length: int | None = None  # its content-length, once it was found to be a request's
+        self.request_length: int | None = None  # the content-length, once checked as a request
 
 
-ENCODER = Encoder()  # headers that are never indexed leave it unchanged, so that all connections may share it
+ENCODER = Encoder()  # shared by all connections, as never-indexed headers do not change its state
 
 
 def encode_uncached_header(name: str, value: str) -> bytes:
-    """One header, whose bytes mean the same in any block: indexed in the static table, or literal."""
+    """Encode one header without the dynamic table, so that the bytes are valid in any block."""
     block: bytes = ENCODER.encode([NeverIndexedHeaderTuple(name, value)], huffman=False)
     return block
 
@@ -47,7 +47,7 @@
 
 
 def encode_headers(headers: Headers) -> bytes:
-    """A block of headers. Those marked as never indexed are not cached, since their values hardly recur."""
+    """Encode a header block. Headers marked as never indexed are not cached, as their values rarely recur."""
     parts = [
         encode_uncached_header(*header)
         if isinstance(header, NeverIndexedHeaderTuple)
@@ -58,21 +58,21 @@
 
 
 class HeaderBlockDecoder:
-    """Decodes one connection's blocks, in the order in which they came."""
+    """Decodes the header blocks of one connection, which must be passed in the order of their arrival."""
 
     def __init__(self, max_bytes: int) -> None:
-        """`max_bytes` of a decoded block."""
+        """`max_bytes` limits the size of a decoded block."""
         self._decoder = Decoder(max_header_list_size=max_bytes)
         self._decoder.max_allowed_table_size = DEFAULT_TABLE_BYTES
         self._cache: dict[bytes, HeaderBlock] = {}
-        # The table's newest entry and its size tell whether a block has changed it.
+        # A change of the newest entry or of the size means that a block has changed the table.
         self._newest_entry: object = None
         self._table_size = (0, DEFAULT_TABLE_BYTES)
 
     def decode(self, data: bytes) -> HeaderBlock:
         """Decode a block. Raises Http2Error.
 
-        Danger: what bytes mean depends on the table; a block that changes it makes all cached blocks void.
+        The meaning of a block depends on the dynamic table, so a block that changes it clears the cache.
         """
         cached = self._cache.get(data)
         if cached is not None:
--- a/juniperreel/rpc/header_rules.py
+++ b/juniperreel/rpc/header_rules.py
@@ -1,6 +1,6 @@
-"""What the headers of requests, responses and trailers must be (RFC 9113, 8.2 and 8.3).
+"""Validation of the headers of requests, responses and trailers (RFC 9113, 8.2 and 8.3).
 
-Every function raises Http2Error PROTOCOL_ERROR.
+All checks raise Http2Error with PROTOCOL_ERROR.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 )
 REQUEST_PSEUDO_HEADERS = frozenset({":method", ":scheme", ":path", ":authority", ":protocol"})
 NO_CONTENT_LENGTH = -1
-MAX_LENGTH_DIGITS = 18  # of a content-length that are read
+MAX_LENGTH_DIGITS = 18  # digits of a content-length that are parsed
 
 
 def check_fields(block: HeaderBlock) -> int:
-    """Check any block; returns its content-length, or NO_CONTENT_LENGTH."""
+    """Check the rules for any block; returns its content-length, or NO_CONTENT_LENGTH."""
     regular = False
     for name, value in block.headers:
         if name[:1] == ":":
@@ -76,10 +76,10 @@
 
 
 def pseudo_headers(block: HeaderBlock) -> list[str]:
-    """The names that begin with a colon, in their order."""
+    """Return the names that begin with a colon, in their order."""
     return [name for name, _ in block.headers if name[:1] == ":"]
 
 
 def protocol_error(text: str) -> Http2Error:
-    """The error of a malformed block."""
+    """Return the error for a malformed block."""
     return Http2Error(ErrorCode.PROTOCOL_ERROR, text)
--- a/juniperreel/rpc/health.py
+++ b/juniperreel/rpc/health.py
@@ -18,21 +18,21 @@
 
 
 class HealthService:
-    """Reports whether services serve; the empty name stands for the whole program."""
+    """Reports the serving status of services; the empty name stands for the whole server."""
 
     def __init__(self, services: tuple[str, ...]) -> None:
-        """No service serves until `set_serving`."""
+        """All services are NOT_SERVING until `set_serving` is called."""
         self._status: dict[str, int] = dict.fromkeys(("", *services), NOT_SERVING)
         self._changed = Wakeup()
         self._watches = 0
 
     def set_serving(self, serving: bool) -> None:
-        """Change the status of all services and notify the watches."""
+        """Set the status of all services and notify the watches."""
         self._status = dict.fromkeys(self._status, SERVING if serving else NOT_SERVING)
         self._changed.wake()
 
     def methods(self) -> dict[str, Method]:
-        """The service's methods by full path."""
+        """Return the service's methods by full path."""
         return {
             "/grpc.health.v1.Health/Check": Method(unary=self._check),
             "/grpc.health.v1.Health/Watch": Method(streaming=self._watch),
@@ -64,7 +64,7 @@
 
 
 def parse_service_name(request: bytes) -> str:
-    """The service of a HealthCheckRequest. Raises RpcError INVALID_ARGUMENT."""
+    """Return the service that a HealthCheckRequest names. Raises RpcError INVALID_ARGUMENT."""
     try:
         return str(health_pb2.HealthCheckRequest.FromString(request).service)
     except DecodeError:
@@ -72,5 +72,5 @@
 
 
 def encode_status(status: int) -> bytes:
-    """A HealthCheckResponse."""
+    """Return a serialized HealthCheckResponse."""
     return bytes(health_pb2.HealthCheckResponse(status=status).SerializeToString())  # type: ignore[arg-type]
--- a/juniperreel/rpc/http2.py
+++ b/juniperreel/rpc/http2.py
@@ -1,8 +1,8 @@
-"""One HTTP/2 connection's protocol state, either side, as far as gRPC needs it. No I/O (RFC 9113).
+"""Protocol state of one HTTP/2 connection (RFC 9113), client or server, as far as gRPC needs it. No I/O.
 
-Bytes in, events out; what is to be sent collects in `out`. Server push, priorities and upgrades are not
-offered. Tests compare it with `h2`: both must accept and reject the same frames. Must never know gRPC, tasks
-or sockets. Every limit is named; a peer that breaks the protocol gets a GOAWAY.
+Turns received bytes into events; bytes to send are collected in `out`. Server push, priorities and upgrades
+are not supported. Tests compare it with `h2`: both must accept and reject the same frames. Does not depend on
+gRPC, tasks or sockets. A peer that breaks the protocol, or exceeds a limit, gets a GOAWAY.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 from juniperreel.rpc.limits import Limits
 from juniperreel.rpc.stream_table import StreamState, StreamTable
 
-# Danger: a block of headers that never ends would be held in memory without bound (CVE-2024-27316).
+# An endless sequence of CONTINUATION frames would otherwise use unbounded memory (CVE-2024-27316).
 MAX_BLOCK_FRAMES = 64
 MAX_GOAWAY_TEXT = 200  # bytes
 PRIORITY_BYTES = 5
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class PartialHeaderBlock:
-    """A block of headers whose CONTINUATION frames have not all arrived."""
+    """A header block whose CONTINUATION frames have not all arrived."""
 
     stream: int
     flags: int
@@ -64,13 +64,13 @@
 
 
 class Http2Protocol:
-    """One connection. After `Http2Error` nothing more may be fed."""
+    """Protocol state of one connection. After an `Http2Error`, `receive` must not be called again."""
 
     def __init__(self, client: bool, limits: Limits) -> None:
-        """Begins with our preface and SETTINGS in `out`."""
+        """Queues the connection preface in `out`."""
         self.client = client
         self.out = bytearray()
-        self.max_streams = limits.streams  # of the peer's, open at once
+        self.max_streams = limits.streams  # concurrent streams that the peer may open
         self.peer_max_streams = UNLIMITED_STREAMS
         self.peer_max_frame = DEFAULT_MAX_FRAME
         self._limits = limits
@@ -80,7 +80,7 @@
         self._send_window = DEFAULT_WINDOW
         self._receive_window = ReceiveWindow(limits.connection_window)
         self._decoder = HeaderBlockDecoder(limits.metadata_bytes)
-        self._table_update = b""  # precedes our next block
+        self._table_update = b""  # HPACK table size update, sent ahead of the next header block
         self._partial: PartialHeaderBlock | None = None
         self._events: list[Event] = []
         self._failed = False
@@ -103,25 +103,25 @@
     # Sending.
 
     def is_open(self, stream: int) -> bool:
-        """Whether either side may still send on it."""
+        """Whether either side may still send on the stream."""
         return stream in self._streams
 
     def next_stream_id(self) -> int:
-        """The number that `open_stream` will return."""
+        """Return the number that the next `open_stream` will use."""
         return self._streams.next_local
 
     def can_open_stream(self) -> bool:
-        """Whether the peer allows one more stream of ours."""
+        """Whether the peer's limit of concurrent streams allows another one."""
         return self._streams.local_count < self.peer_max_streams
 
     def open_stream(self, block: bytes, end: bool = False) -> int:
-        """Open a stream of ours with a block of headers; returns its number."""
+        """Open a stream with a header block; returns its number."""
         number = self._streams.open_local()
         self.send_headers(number, block, end)
         return number
 
     def send_headers(self, stream: int, block: bytes, end: bool = False) -> None:
-        """HEADERS, split by the peer's frame size. Raises KeyError for a stream that is not open."""
+        """Send HEADERS, split at the peer's frame size. Raises KeyError if the stream is not open."""
         state = self._streams[stream]
         if self._table_update:
             block = self._table_update + block
@@ -138,11 +138,11 @@
             self._streams.end_local(stream, state)
 
     def send_capacity(self, stream: int) -> int:
-        """Bytes of DATA that the windows allow. Raises KeyError for a stream that is not open."""
+        """Return the bytes of DATA that the windows allow. Raises KeyError if the stream is not open."""
         return min(self._send_window, self._streams[stream].send_window)
 
     def send_data(self, stream: int, data: bytes, end: bool = False) -> None:
-        """One DATA frame, within `send_capacity` and the peer's frame size."""
+        """Send one DATA frame, which must be within `send_capacity` and the peer's frame size."""
         state = self._streams[stream]
         size = len(data)
         assert size <= self.peer_max_frame
@@ -154,21 +154,21 @@
             self._streams.end_local(stream, state)
 
     def reset_stream(self, stream: int, code: int) -> None:
-        """RST_STREAM, for a stream that is open or was rejected at its opening."""
+        """Send RST_STREAM for a stream that is open, or that is rejected while it is opened."""
         self._streams.reset(stream)
         self.out += encode_frame(FrameType.RST_STREAM, 0, stream, UINT32.pack(code))
 
     def send_ping(self, data: bytes) -> None:
-        """PING with 8 bytes of `data`, which its answer repeats."""
+        """Send PING with 8 bytes of `data`, which the acknowledgement repeats."""
         self.out += encode_frame(FrameType.PING, 0, 0, data)
 
     def send_goaway(self, code: int, debug: bytes = b"") -> None:
-        """GOAWAY: streams of the peer up to the last one received may finish."""
+        """Send GOAWAY; the peer's streams up to the last one received may finish."""
         payload = UINT32.pack(self._streams.highest_remote) + UINT32.pack(code) + debug
         self.out += encode_frame(FrameType.GOAWAY, 0, 0, payload)
 
     def acknowledge_received_data(self, stream: int, count: int) -> None:
-        """Give taken bytes back to the peer's windows, in updates of half a window."""
+        """Return consumed bytes to the peer's windows, in updates of at least half a window."""
         if count <= 0:
             return
         increment = self._receive_window.give_back(count)
@@ -187,7 +187,7 @@
     # Receiving.
 
     def receive(self, data: bytes) -> list[Event]:
-        """Process received bytes. Raises Http2Error, with its GOAWAY in `out`."""
+        """Process received bytes. Raises Http2Error, with the GOAWAY queued in `out`."""
         assert not self._failed
         self._events = []
         try:
@@ -247,7 +247,7 @@
         self._events.append(events.DataReceived(stream, data, length, ended))
 
     def _on_data_after_end(self, stream: int, state: StreamState | None, length: int) -> None:
-        """DATA that the peer may not send, unless it did so before it knew of our RST_STREAM."""
+        """Reject DATA on a stream that the peer may not send on, unless it crossed our RST_STREAM."""
         if self._streams.is_idle(stream):
             raise Http2Error(ErrorCode.PROTOCOL_ERROR, "DATA on a stream that was never opened")
         self.acknowledge_received_data(stream, length)
--- a/juniperreel/rpc/http2_events.py
+++ b/juniperreel/rpc/http2_events.py
@@ -1,4 +1,4 @@
-"""What an HTTP/2 connection tells the program about its peer, named as h2 names it."""
+"""Events that `Http2Protocol.receive` returns. Names follow those of the h2 library."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A request on a new stream of the peer's; `ended` where it has no body."""
+    """The peer opened a stream with a request; `ended` if it has no body."""
 
     stream: int
     block: HeaderBlock
@@ -16,7 +16,7 @@
 
 
 class ResponseReceived(NamedTuple):
-    """The response's headers; `ended` where they are the trailers as well."""
+    """The headers of a response; `ended` if they are also its trailers (Trailers-Only)."""
 
     stream: int
     block: HeaderBlock
@@ -24,14 +24,14 @@
 
 
 class TrailersReceived(NamedTuple):
-    """The trailers, which end the stream."""
+    """The trailers of a request or response, which end the stream."""
 
     stream: int
     block: HeaderBlock
 
 
 class DataReceived(NamedTuple):
-    """DATA; `flow_controlled_length` is owed to the peer's windows by `acknowledge_received_data`."""
+    """DATA. Pass `flow_controlled_length` to `acknowledge_received_data` once the data is consumed."""
 
     stream: int
     data: bytes
@@ -40,32 +40,32 @@
 
 
 class StreamReset(NamedTuple):
-    """The stream is closed, by the peer's RST_STREAM or by ours for its error."""
+    """The stream was closed by the peer's RST_STREAM, or by ours after a stream error."""
 
     stream: int
     code: int
 
 
 class WindowUpdated(NamedTuple):
-    """More may be sent on a stream, or on all where it is 0."""
+    """The send window of a stream grew, or that of the connection if `stream` is 0."""
 
     stream: int
 
 
 class RemoteSettingsChanged(NamedTuple):
-    """The peer sent SETTINGS; they are applied and acknowledged."""
+    """The peer sent SETTINGS, which were applied and acknowledged."""
 
 
 class PingReceived(NamedTuple):
-    """The peer sent a PING; it is answered."""
+    """The peer sent a PING, which was acknowledged."""
 
 
 class PingAckReceived(NamedTuple):
-    """The peer answered a PING."""
+    """The peer acknowledged a PING."""
 
 
 class ConnectionTerminated(NamedTuple):
-    """The peer sent GOAWAY: it processes no stream above `last_stream`."""
+    """The peer sent GOAWAY; it does not process streams above `last_stream`."""
 
     last_stream: int
     code: int
--- a/juniperreel/rpc/keepalive.py
+++ b/juniperreel/rpc/keepalive.py
@@ -1,4 +1,4 @@
-"""Notices a peer that does not answer: no SETTINGS in time, or no answer to a PING (gRFC A8)."""
+"""Detects an unresponsive peer: one that does not send SETTINGS in time, or acknowledge a PING (gRFC A8)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Keepalive:
-    """Sends pings while streams are open and nothing is received."""
+    """Sends pings while streams are open and nothing is received; aborts if they are not acknowledged."""
 
     def __init__(
         self,
@@ -25,25 +25,25 @@
         send_ping: Callable[[bytes], None],
         abort: Callable[[str], None],
     ) -> None:
-        """`abort` ends the connection, with a reason."""
+        """`abort` closes the connection with a reason."""
         self.last_received_us = clock.now_us()
         self._limits = limits
         self._clock = clock
         self._has_streams = has_streams
         self._send_ping = send_ping
         self._abort = abort
-        self._ping_sent_us = 0  # 0 while none is unanswered
+        self._ping_sent_us = 0  # 0 if no ping is unacknowledged
 
     def on_received(self) -> None:
-        """Bytes were received."""
+        """Record that bytes were received."""
         self.last_received_us = self._clock.now_us()
 
     def on_ping_ack(self) -> None:
-        """The ping was answered."""
+        """Record that the ping was acknowledged."""
         self._ping_sent_us = 0
 
     async def run(self, settings_received: trio.Event) -> None:
-        """Watch the peer until cancelled, or the connection is aborted."""
+        """Monitor the peer until cancelled or the connection is aborted."""
         handshake_us = self._limits.handshake_us
         with trio.move_on_after(handshake_us / US_PER_S if handshake_us else math.inf):
             await settings_received.wait()
--- a/juniperreel/rpc/metadata.py
+++ b/juniperreel/rpc/metadata.py
@@ -1,6 +1,6 @@
 """Metadata and time-outs in HTTP/2 headers (PROTOCOL-HTTP2, "Requests" and "Custom-Metadata").
 
-Header names and values are text here; values under a name that ends in `-bin` are bytes.
+Header names and values are `str`; metadata values are `bytes` if the key ends in `-bin`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 NAME_PATTERN = re.compile(r"[0-9a-z_.\-]+\Z")
 VALUE_PATTERN = re.compile(r"[\x20-\x7e]*\Z")
 RESERVED_HEADERS = frozenset({"te", "content-type", "user-agent", "host", "connection"})
-# Named as the protocol's own, but meant for the application.
+# Their prefix is reserved for the protocol, but applications may use them.
 APPLICATION_HEADERS = frozenset(
     {"grpc-previous-rpc-attempts", "grpc-retry-pushback-ms", "grpc-trace-bin", "grpc-tags-bin"}
 )
@@ -30,11 +30,11 @@
 
 
 class MetadataError(ValueError):
-    """Metadata that the specification does not allow."""
+    """Metadata or time-out that violates the specification."""
 
 
 def encode_metadata(metadata: Metadata) -> Headers:
-    """Metadata as headers. Raises MetadataError for names and values that have no place in one."""
+    """Return metadata as headers. Raises MetadataError for invalid keys and values."""
     headers: Headers = []
     for name, value in metadata:
         if not NAME_PATTERN.match(name):
@@ -51,12 +51,12 @@
 
 
 def never_indexed(name: str, value: str) -> tuple[str, str]:
-    """A header whose value hardly recurs: it stays out of HPACK's table, which it would only churn."""
+    """Mark a header whose value rarely recurs, so that it does not displace others in HPACK's table."""
     return cast("tuple[str, str]", NeverIndexedHeaderTuple(name, value))
 
 
 def decode_metadata(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str | bytes]]:
-    """The custom metadata among `headers`. Raises MetadataError for broken base64."""
+    """Return the custom metadata among `headers`. Raises MetadataError for malformed base64."""
     found: list[tuple[str, str | bytes]] = []
     for name, value in headers:
         if is_reserved(name):
@@ -69,14 +69,14 @@
 
 
 def is_reserved(name: str) -> bool:
-    """Whether the header is the protocol's own and not custom metadata."""
+    """Whether the header belongs to the protocol and is not custom metadata."""
     if name in RESERVED_HEADERS:
         return True
     return name.startswith((":", "grpc-")) and name not in APPLICATION_HEADERS
 
 
 def decode_base64(text: str) -> bytes:
-    """Bytes of base64 with or without its padding. Raises MetadataError."""
+    """Decode base64 with or without padding. Raises MetadataError."""
     text = text.strip()
     try:
         return base64.b64decode(text + "=" * (-len(text) % 4), validate=True)
@@ -85,7 +85,10 @@
 
 
 def encode_timeout(timeout_us: int) -> str:
-    """The shortest exact form, rounded down so that the peer never waits beyond the caller."""
+    """Encode a time-out in the finest unit that fits.
+
+    Rounds down, so that the peer never waits longer than the caller.
+    """
     timeout_us = max(timeout_us, 1)
     for unit, span in (("u", 1), ("m", 1_000), ("S", 1_000_000), ("M", 60_000_000), ("H", 3_600_000_000)):
         if timeout_us // span <= MAX_TIMEOUT_DIGITS:
@@ -94,7 +97,7 @@
 
 
 def decode_timeout(text: str) -> int:
-    """Microseconds. Raises MetadataError."""
+    """Decode a time-out to microseconds. Raises MetadataError."""
     match = TIMEOUT_PATTERN.match(text)
     if match is None:
         raise MetadataError(f"not a grpc-timeout: {text[:20]!r}")
--- a/juniperreel/rpc/reflection.py
+++ b/juniperreel/rpc/reflection.py
@@ -14,14 +14,14 @@
 
 
 class ReflectionService:
-    """Server reflection over the descriptors linked into the program."""
+    """Server reflection over the descriptors that the program has loaded."""
 
     def __init__(self, services: tuple[str, ...]) -> None:
-        """`services`: the names to list."""
+        """`services` are the names to list."""
         self._services = services
 
     def methods(self) -> dict[str, Method]:
-        """The service's methods by full path."""
+        """Return the service's methods by full path."""
         return {"/grpc.reflection.v1.ServerReflection/ServerReflectionInfo": Method(streaming=self._info)}
 
     async def _info(self, call: Call) -> None:
@@ -54,7 +54,7 @@
 
     @staticmethod
     def _add_files(response: reflection_pb2.ServerReflectionResponse, file: Any) -> None:
-        """Add a file's descriptor, and those of all that it imports."""
+        """Add a file's descriptor, and those of all files that it imports."""
         files: dict[str, bytes] = {}
         pending = [file]
         while pending:
--- a/juniperreel/rpc/server.py
+++ b/juniperreel/rpc/server.py
@@ -1,8 +1,8 @@
-"""The server side: methods by path, connections, and the calls in flight.
+"""gRPC server: methods by path, connections, and the calls in flight.
 
-A handler takes a `Call` and the request's bytes. It raises `RpcError` for any status but OK; whatever else it
-raises is reported as INTERNAL and logged, never sent. It is cancelled when the client resets the stream, the
-connection ends or the deadline passes.
+A handler takes a `Call` and the request's bytes. It raises `RpcError` for any status but OK; any other
+exception is logged, and reported to the client as INTERNAL without its text. A handler is cancelled when the
+client resets the stream, the connection ends or the deadline passes.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from juniperreel.rpc.status import Code, RpcError
 from juniperreel.rpc.stream import Stream
 
-MAX_ECHOED_PATH = 200  # characters of an unknown path that its status repeats
+MAX_ECHOED_PATH = 200  # characters of an unknown path that the status message quotes
 MAX_ECHOED_ENCODING = 40
 
 UnaryHandler = Callable[[Call, bytes], Awaitable[bytes]]
@@ -34,14 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """How calls of one path are served.
+    """Handlers of one method.
 
-    `unary` answers one message with one; `streaming` receives and sends by its Call.
+    `unary` returns the response to one request message; `streaming` sends and receives through its Call.
 
     A unary call may be rejected before a task is started for it. `shed_early` decides from the headers, the
-    message if it came with them, and the time from which on the call counts; it returns the encoded rejection
-    (`call.encode_rejection`) or None, and must not raise. `admit` decides from the complete call: bytes are a
-    rejection, anything else is the call's admission, which goes to `release` if the handler never took it.
+    message if it arrived with them, and the call's arrival time; it returns the encoded rejection
+    (`call.encode_rejection`) or None, and must not raise. `admit` decides from the complete call: if it
+    returns bytes, they are the rejection; anything else is the call's admission, which is passed to `release`
+    if the handler does not take it.
     """
 
     unary: UnaryHandler | None = None
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EarlyDecision:
-    """What is known of a call before its task starts: rejected, or its Call if it was admitted."""
+    """The decision made on a call before its task starts: rejected, admitted (`call` is set), or neither."""
 
     rejected: bool = False
     call: Call | None = None
@@ -64,7 +65,7 @@
 
 
 def is_well_formed(headers: dict[str, str]) -> bool:
-    """Whether nothing but the call's metadata and message can be wrong with it."""
+    """Whether a request is gRPC with a supported encoding; its metadata and message are not checked."""
     return (
         headers.get(":method") == "POST"
         and headers.get("content-type", "").startswith(CONTENT_TYPE)
@@ -73,7 +74,7 @@
 
 
 class Server:
-    """All services on all connections of a program."""
+    """Serves all methods on all connections."""
 
     def __init__(
         self,
@@ -84,7 +85,10 @@
         max_connections: int = 10_000,
         stall_monitor: StallMonitor | None = None,
     ) -> None:
-        """`methods`: by full path, as "/package.Service/Method"; `on_error`: a handler failed on a path."""
+        """`methods` are by full path, such as "/package.Service/Method".
+
+        `on_error` is called with the path and the exception if a handler fails.
+        """
         self._methods = methods
         self._limits = limits
         self._clock = clock
@@ -96,7 +100,7 @@
 
     @property
     def connections(self) -> int:
-        """How many are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     async def serve(
@@ -143,9 +147,10 @@
                 self._connections.discard(connection)
 
     def _decide_early(self, connection: Connection, stream: Stream) -> EarlyDecision:
-        """Reject or admit a call while the connection's reading task still holds it.
+        """Reject or admit a call within the connection's reading task.
 
-        Danger: under a flood of calls, the cost of a rejection decides how many can be answered at all.
+        Under overload, the cost of a rejection limits how many calls can be answered at all, so a rejected
+        call must not cost a task.
         """
         headers = stream.headers or {}
         method = self._methods.get(headers.get(":path", ""))
@@ -169,9 +174,9 @@
         return REJECTED
 
     async def drain(self) -> None:
-        """GOAWAY on every connection; returns when the calls in flight are done."""
+        """Send GOAWAY on every connection; returns when the calls in flight are done."""
         self._draining = True
-        # Danger: a connection that was just accepted is in no set until its task has begun.
+        # A connection that was just accepted is not in `_connections` until its task has started.
         await trio.lowlevel.checkpoint()
         while self._connections:
             async with trio.open_nursery() as nursery:
@@ -180,7 +185,7 @@
             await trio.lowlevel.checkpoint()
 
     async def _serve_call(self, connection: Connection, stream: Stream, call: Call | None) -> None:
-        """Serve one call in its own task; `call` where it was admitted."""
+        """Serve one call in its own task; `call` is set if it was already admitted."""
         try:
             if not stream.closed and self._check_http(connection, stream):
                 await self._answer(connection, stream, call)
@@ -195,7 +200,7 @@
 
     @staticmethod
     def _check_http(connection: Connection, stream: Stream) -> bool:
-        """Whether the request is gRPC; else it is answered with an HTTP status."""
+        """Whether the request is gRPC; if not, an HTTP error status is sent."""
         headers = stream.headers or {}
         if headers.get(":method") != "POST":
             connection.send_headers(stream, [(":status", "405"), ("allow", "POST")], end=True)
@@ -217,7 +222,7 @@
         except TransportError:
             return
         except Exception as caught:
-            # A defect of a handler must end its own call only.
+            # A bug in a handler must fail only its own call.
             if self._on_error is not None:
                 self._on_error((stream.headers or {}).get(":path", ""), caught)
             error = RpcError(Code.INTERNAL, "the server failed on this call")
@@ -229,7 +234,7 @@
             connection.send_headers(stream, RESPONSE_HEADERS + trailers(error), end=True)
 
     async def _run_method(self, call: Call, stream: Stream) -> RpcError | None:
-        """Run the call's method; returns the error at the deadline, None when it is done. Raises RpcError."""
+        """Run the call's method. Returns the error if the deadline passed, else None. Raises RpcError."""
         method = self._methods.get(call.path)
         if method is None:
             raise RpcError(Code.UNIMPLEMENTED, f"no method {call.path[:MAX_ECHOED_PATH]}")
--- a/juniperreel/rpc/status.py
+++ b/juniperreel/rpc/status.py
@@ -1,6 +1,6 @@
-"""Status codes, their messages and details, as gRPC's HTTP/2 specification has them.
+"""gRPC status codes, messages and details, and their encoding in HTTP/2 trailers.
 
-Source: "gRPC over HTTP2" (PROTOCOL-HTTP2), google.rpc.Status for details, gRFC A6 for pushback.
+Sources: "gRPC over HTTP2" (PROTOCOL-HTTP2), google.rpc.Status for details, gRFC A6 for pushback.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from google.rpc import error_details_pb2, status_pb2
 
 PUSHBACK = "grpc-retry-pushback-ms"
-UNESCAPED = re.compile(r"[ -$&-~]*\Z")  # printable ASCII but for the percent sign
+UNESCAPED = re.compile(r"[ -$&-~]*\Z")  # printable ASCII except the percent sign
 
 
 class Code(IntEnum):
-    """gRPC's status codes."""
+    """The gRPC status codes."""
 
     OK = 0
     CANCELLED = 1
@@ -42,9 +42,9 @@
 
 
 class RpcError(Exception):
-    """A call that ends with a status other than OK.
+    """A call ended with a status other than OK.
 
-    `details` are google.rpc messages; `metadata` goes into the trailers besides the status.
+    `details` are google.rpc messages; `metadata` is sent in the trailers in addition to the status.
     """
 
     def __init__(
@@ -61,14 +61,14 @@
         self.metadata = tuple(metadata)
 
     def reason(self, domain: str) -> str | None:
-        """The reason of its ErrorInfo of this domain, if it has one."""
+        """Return the reason of the ErrorInfo detail of this domain, or None."""
         for detail in self.details:
             if isinstance(detail, error_details_pb2.ErrorInfo) and detail.domain == domain:
                 return str(detail.reason)
         return None
 
     def retry_after_us(self) -> int | None:
-        """The delay of its RetryInfo, if it has one."""
+        """Return the delay of the RetryInfo detail, or None."""
         for detail in self.details:
             if isinstance(detail, error_details_pb2.RetryInfo):
                 return int(detail.retry_delay.ToMicroseconds())
@@ -76,13 +76,13 @@
 
 
 def error_info(reason: str, domain: str, **metadata: str) -> Message:
-    """A google.rpc.ErrorInfo."""
+    """Return a google.rpc.ErrorInfo."""
     info: Message = error_details_pb2.ErrorInfo(reason=reason, domain=domain, metadata=metadata)
     return info
 
 
 def retry_info(after_us: int) -> Message:
-    """A google.rpc.RetryInfo with a delay in microseconds."""
+    """Return a google.rpc.RetryInfo with a delay in microseconds."""
     delay = Duration()
     delay.FromMicroseconds(after_us)
     info: Message = error_details_pb2.RetryInfo(retry_delay=delay)
@@ -90,7 +90,7 @@
 
 
 def field_violation(field: str, description: str) -> Message:
-    """A google.rpc.BadRequest for one field."""
+    """Return a google.rpc.BadRequest for one field."""
     violation = error_details_pb2.BadRequest.FieldViolation(field=field, description=description)
     request: Message = error_details_pb2.BadRequest(field_violations=[violation])
     return request
@@ -109,7 +109,7 @@
 
 
 def pack_details(code: Code, message: str, details: Sequence[Message]) -> bytes:
-    """The value of grpc-status-details-bin: a google.rpc.Status."""
+    """Return the value of grpc-status-details-bin: a serialized google.rpc.Status."""
     status = status_pb2.Status(code=int(code), message=message)
     for detail in details:
         status.details.add().Pack(detail)
@@ -117,7 +117,7 @@
 
 
 def unpack_details(data: bytes) -> list[Message]:
-    """The details of a google.rpc.Status; empty for malformed bytes, and without those of unknown types."""
+    """Return the details of a google.rpc.Status, without those of unknown types; empty if it is malformed."""
     status = status_pb2.Status()
     try:
         status.ParseFromString(data)
@@ -132,7 +132,7 @@
 
 
 def unpack(packed: Any) -> Message | None:
-    """The detail, or None if its type is unknown or its bytes are malformed."""
+    """Return the detail, or None if its type is unknown or its bytes are malformed."""
     kind = DETAIL_TYPES.get(packed.type_url.rpartition("/")[2])
     if kind is None:
         return None
@@ -145,7 +145,7 @@
 
 
 def encode_message(message: str) -> str:
-    """Percent-encoded UTF-8: all but printable ASCII, and the percent sign itself."""
+    """Encode as UTF-8, percent-encoding the percent sign and everything but printable ASCII."""
     if UNESCAPED.match(message):
         return message
     return "".join(
@@ -155,11 +155,14 @@
 
 
 def decode_message(text: str) -> str:
-    """Never fails: broken encodings come out as they are, as the specification asks."""
+    """Decode a percent-encoded message; never fails, as the specification requires.
+
+    Malformed escapes are kept as they are, and invalid UTF-8 is replaced.
+    """
     return unquote_to_bytes(text).decode("utf-8", "replace") if "%" in text else text
 
 
-# What an HTTP status means where no gRPC status came (gRPC: http-grpc-status-mapping).
+# Used if the response has no gRPC status (gRPC's http-grpc-status-mapping).
 CODES_OF_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
@@ -173,7 +176,7 @@
 
 
 def code_of(text: str | None, http_status: str | None) -> Code:
-    """The call's status from its trailers and HTTP status; UNKNOWN where they are nonsense."""
+    """Return the call's status from grpc-status and the HTTP status; UNKNOWN if they are malformed."""
     if text is None:
         if http_status is not None and http_status != "200" and http_status.isdigit():
             return CODES_OF_HTTP_STATUS.get(int(http_status[:4]), Code.UNKNOWN)
--- a/juniperreel/rpc/stream.py
+++ b/juniperreel/rpc/stream.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 stream as a sequence of gRPC messages, with its flow control."""
+"""One HTTP/2 stream as a sequence of gRPC messages, with flow control."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 
 
 class StreamOwner(Protocol):
-    """The connection, as its streams need it."""
+    """The interface of a connection that its streams use."""
 
     limits: Limits
-    buffered_bytes: int  # of all streams
+    buffered_bytes: int  # over all streams
 
     def acknowledge(self, stream: Stream, count: int) -> None:
-        """Give `count` bytes back to the peer's windows."""
+        """Return `count` bytes to the peer's flow-control windows."""
         ...
 
 
 class Stream:
-    """Headers, then messages, then perhaps trailers. Opened and fed by its connection."""
+    """Headers, then messages, then possibly trailers. Opened and fed by its connection."""
 
     def __init__(self, owner: StreamOwner, number: int, queued_before: int) -> None:
-        """`queued_before`: bytes queued on the connection ahead of the stream's first."""
+        """`queued_before` is how many bytes the connection had queued before the stream's first byte."""
         self.number = number
         self.queued_before = queued_before
         self.headers: dict[str, str] | None = None
         self.raw_headers: Headers = []
         self.trailers: Headers | None = None
-        self.ended = False  # the peer sends no more
-        self.closed = False  # neither side sends any more
+        self.ended = False  # the peer has sent END_STREAM
+        self.closed = False  # neither side sends anything more
         self.failure: Exception | None = None
         self.changed = Wakeup()
-        self.arrived_us = 0  # since when its first bytes may have waited to be read
+        self.arrived_us = 0  # lower bound for the arrival of its first bytes in the socket
         self.handler_scope: trio.CancelScope | None = None  # cancelled with the stream
         self.messages: deque[bytes] = deque()
         self._owner = owner
         self._deframer = Deframer(owner.limits.message_bytes, None)
-        self._unacknowledged = 0  # bytes of DATA, while messages wait to be taken
+        self._unacknowledged = 0  # bytes of DATA received while messages were waiting to be consumed
         self._buffered = 0
 
     def receive_headers(self, block: HeaderBlock, ended: bool) -> None:
-        """The peer's headers, ahead of its first message."""
+        """Store the peer's headers, which precede its first message."""
         self.raw_headers = block.headers
         self.headers = block.fields
         self.ended = ended
@@ -58,10 +58,10 @@
             self._deframer = Deframer(self._owner.limits.message_bytes, encoding)
 
     def feed(self, data: bytes, flow_controlled_length: int) -> None:
-        """Take DATA from the connection. Raises RpcError for malformed messages, and for too many bytes.
+        """Process received DATA. Raises RpcError for malformed messages, or if too many bytes are buffered.
 
-        Danger: a peer may send faster than its messages are taken. From the first message that waits on, its
-        window is not opened again.
+        A peer may send faster than its messages are consumed, so its window is not extended while a message
+        is waiting.
         """
         self._buffered += len(data)
         self._owner.buffered_bytes += len(data)
@@ -80,7 +80,10 @@
             self._owner.acknowledge(self, flow_controlled_length)
 
     async def message(self) -> bytes | None:
-        """The next message; None once the peer has ended. Raises what ended the stream otherwise."""
+        """Return the next message, or None once the peer has ended the stream.
+
+        Raises the error if the stream ended with one.
+        """
         while not self.messages:
             if self.failure is not None:
                 raise self.failure
@@ -95,9 +98,9 @@
         return message
 
     def _release_buffer(self) -> None:
-        """Give all buffered bytes back.
+        """Return all buffered bytes to the flow-control windows.
 
-        Danger: bytes that are not given back with their stream shut the whole connection's window.
+        Bytes of a closed stream that were not returned would permanently shrink the connection's window.
         """
         self._owner.buffered_bytes -= self._buffered
         unacknowledged = self._unacknowledged
@@ -106,13 +109,13 @@
         self._owner.acknowledge(self, unacknowledged)
 
     def fail(self, failure: Exception) -> None:
-        """Close it; `message` raises the first failure."""
+        """Close the stream with an error; `message` raises the first one."""
         if self.failure is None:
             self.failure = failure
         self.close()
 
     def close(self) -> None:
-        """Neither side sends any more."""
+        """Close the stream: neither side sends anything more."""
         self.closed = True
         self._release_buffer()
         self.changed.wake()
--- a/juniperreel/rpc/stream_table.py
+++ b/juniperreel/rpc/stream_table.py
@@ -7,11 +7,11 @@
 from juniperreel.rpc.flow_control import DEFAULT_WINDOW, ReceiveWindow
 from juniperreel.rpc.frames import MAX_31_BITS, ErrorCode, Http2Error
 
-REMEMBERED_RESETS = 4_096  # streams that we reset: what the peer sent before it knew is ignored
+REMEMBERED_RESETS = 4_096  # streams that we reset; frames sent before the peer read the reset are ignored
 
 
 class StreamState:
-    """One open stream."""
+    """State of one open stream."""
 
     __slots__ = (
         "content_length",
@@ -28,21 +28,21 @@
         self.send_window = send_window
         self.receive_window = ReceiveWindow(receive_window)
         self.local_open = True  # whether we may still send
-        self.remote_open = True  # whether the peer may
-        self.headers_received = False  # the peer's final ones, informational ones apart
-        self.content_length = -1  # as the peer announced it; -1 if it did not
+        self.remote_open = True  # whether the peer may still send
+        self.headers_received = False  # informational (1xx) responses do not count
+        self.content_length = -1  # from the peer's headers; -1 if absent
         self.received_bytes = 0
 
 
 class StreamTable:
-    """Open streams by number, and what is known of the numbers that are not open."""
+    """The open streams by number; tells whether other streams are idle, closed or reset."""
 
     def __init__(self, client: bool, receive_window: int) -> None:
-        """`client`: our side; `receive_window` of each stream, in bytes."""
+        """`client` tells whether we are the client; `receive_window` is that of each stream, in bytes."""
         self.next_local = 1 if client else 2
         self.highest_remote = 0
-        self.local_count = 0  # open, and opened by us
-        self.remote_count = 0
+        self.local_count = 0  # open streams that we opened
+        self.remote_count = 0  # open streams that the peer opened
         self._client = client
         self._streams: dict[int, StreamState] = {}
         self._reset: OrderedDict[int, None] = OrderedDict()
@@ -56,25 +56,25 @@
         return self._streams[number]
 
     def get(self, number: int) -> StreamState | None:
-        """The stream, if it is open."""
+        """Return the stream, or None if it is not open."""
         return self._streams.get(number)
 
     def is_local(self, number: int) -> bool:
-        """Whether it is ours to open: a client's streams have odd numbers."""
+        """Whether a stream of this number is opened by us: a client's streams have odd numbers."""
         return (number & 1) == self._client
 
     def is_idle(self, number: int) -> bool:
-        """Whether the side that may open it never has."""
+        """Whether the stream was never opened."""
         if self.is_local(number):
             return number >= self.next_local
         return number > self.highest_remote
 
     def was_reset(self, number: int) -> bool:
-        """Whether we reset it, among the last REMEMBERED_RESETS."""
+        """Whether the stream is among the last REMEMBERED_RESETS that we reset."""
         return number in self._reset
 
     def open_local(self) -> int:
-        """Open the next stream of ours; returns its number."""
+        """Open our next stream; returns its number."""
         number = self.next_local
         self.next_local += 2
         self.local_count += 1
@@ -82,7 +82,7 @@
         return number
 
     def open_remote(self, number: int, content_length: int) -> StreamState:
-        """A request of the peer's has opened a stream."""
+        """Add a stream that a request of the peer opened."""
         state = self._new_stream()
         state.content_length = content_length
         state.headers_received = True
@@ -94,13 +94,13 @@
         return StreamState(self._initial_send_window, self._initial_receive_window)
 
     def end_local(self, number: int, state: StreamState) -> None:
-        """We send no more."""
+        """Record that we sent END_STREAM."""
         state.local_open = False
         if not state.remote_open:
             self.close(number)
 
     def end_remote(self, number: int, state: StreamState) -> None:
-        """The peer sends no more. Raises Http2Error if it sent less than it announced."""
+        """Record that the peer sent END_STREAM. Raises Http2Error if content-length does not match."""
         if state.content_length >= 0 and state.content_length != state.received_bytes:
             raise Http2Error(ErrorCode.PROTOCOL_ERROR, "content-length and the bytes sent differ")
         state.remote_open = False
@@ -108,7 +108,7 @@
             self.close(number)
 
     def close(self, number: int) -> bool:
-        """Forget a stream; returns whether it was open."""
+        """Remove a stream; returns whether it was open."""
         if self._streams.pop(number, None) is None:
             return False
         if self.is_local(number):
@@ -118,14 +118,14 @@
         return True
 
     def reset(self, number: int) -> None:
-        """Forget a stream, if it is open, and remember that we reset it."""
+        """Remove a stream, if it is open, and remember that we reset it."""
         self.close(number)
         self._reset[number] = None
         if len(self._reset) > REMEMBERED_RESETS:
             self._reset.popitem(last=False)
 
     def set_initial_send_window(self, size: int) -> None:
-        """Also grows or shrinks the windows of open streams (RFC 9113, 6.9.2). Raises Http2Error."""
+        """Set the peer's INITIAL_WINDOW_SIZE, adjusting open streams (RFC 9113, 6.9.2). Raises Http2Error."""
         if size > MAX_31_BITS:
             raise Http2Error(ErrorCode.FLOW_CONTROL_ERROR, "INITIAL_WINDOW_SIZE out of range")
         for state in self._streams.values():
--- a/juniperreel/rpc/wakeup.py
+++ b/juniperreel/rpc/wakeup.py
@@ -1,4 +1,4 @@
-"""A condition that tasks wait for, without any state of its own."""
+"""A stateless notification that tasks can wait for."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Wakeup:
-    """Tasks wait until they are woken; waking with nobody waiting does nothing."""
+    """Wakes all waiting tasks; a `wake` without waiting tasks has no effect."""
 
     __slots__ = ("_lot",)
 
@@ -20,6 +20,6 @@
         await self._lot.park()
 
     def wake(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         if self._lot:
             self._lot.unpark_all()
--- a/juniperreel/rpc/writer.py
+++ b/juniperreel/rpc/writer.py
@@ -1,4 +1,4 @@
-"""Writes what an HTTP/2 connection has queued to its socket, and knows how far that has got."""
+"""Writes the queued data of an HTTP/2 connection to its socket, and tracks how much was written."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionWriter:
-    """Moves `protocol.out` to the socket. `run` does the work."""
+    """Writes `protocol.out` to the socket. `run` must be running."""
 
     def __init__(
         self,
@@ -21,38 +21,38 @@
         limits: Limits,
         abort: Callable[[str], None],
     ) -> None:
-        """`abort` ends the connection, with a reason."""
+        """`abort` closes the connection with a reason."""
         self._protocol = protocol
         self._transport = transport
         self._max_queued = limits.control_buffer + limits.send_buffer
         self._abort = abort
-        self._sent = 0  # bytes handed to the socket; what waits is in the protocol's `out`
-        self._written = 0  # of those, taken by it
+        self._sent = 0  # bytes passed to `send_all`; the others are still in the protocol's `out`
+        self._written = 0  # of those, bytes for which `send_all` has returned
         self._has_work = Wakeup()
         self._finishing = False
-        self.progressed = Wakeup()  # bytes were written, or the connection is over
+        self.progressed = Wakeup()  # bytes were written, or the connection has ended
 
     @property
     def sent(self) -> int:
-        """Bytes that were handed to the socket: the peer may have seen them."""
+        """Bytes passed to the socket, which the peer may have received."""
         return self._sent
 
     @property
     def queued(self) -> int:
-        """Bytes that were ever queued, those sent included."""
+        """Total of bytes ever queued, including those sent."""
         return self._sent + len(self._protocol.out)
 
     def flush(self) -> None:
-        """Let what was queued be written."""
+        """Wake `run` to write the queued data."""
         waiting = len(self._protocol.out)
         if waiting > self._max_queued:
-            # Danger: the answers to pings and resets of a peer that never reads would fill the memory.
+            # If the peer never reads, responses to its control frames would use unbounded memory.
             self._abort("the peer does not read")
         if waiting:
             self._has_work.wake()
 
     def finish(self) -> None:
-        """End the connection once all is written."""
+        """Close the connection once all queued data is written."""
         self._finishing = True
         self._has_work.wake()
 
@@ -80,6 +80,6 @@
             await self.progressed.wait()
 
     async def wait_all_written(self) -> None:
-        """Wait until nothing is queued."""
+        """Wait until all queued data is written."""
         while self._written < self.queued:
             await self.progressed.wait()
