--- a/juniperreel/rpc/arrival.py
+++ b/juniperreel/rpc/arrival.py
@@ -17,7 +17,7 @@
 
     def __init__(self, stall_monitor: StallMonitor | None, now_us: int) -> None:
         """`stall_monitor` records when sockets were polled; without it, bytes count as just arrived."""
-        self.arrived_after_us = now_us  # lower bound for the arrival of the bytes read next
+        self.earliest_arrival_us = now_us  # lower bound for the arrival of the bytes read next
         self._stall_monitor = stall_monitor
         self._polls_before = 0
 
@@ -30,14 +30,14 @@
         """Call after each read that returned bytes."""
         stall_monitor = self._stall_monitor
         if stall_monitor is None:
-            self.arrived_after_us = now_us
+            self.earliest_arrival_us = now_us
         elif stall_monitor.last_poll_blocked or stall_monitor.poll_count > self._polls_before + 1:
             # The read had to wait, so the socket was empty before.
-            self.arrived_after_us = max(self.arrived_after_us, stall_monitor.ready_since_us)
+            self.earliest_arrival_us = max(self.earliest_arrival_us, stall_monitor.ready_since_us)
 
     def on_socket_emptied(self, read_us: int) -> None:
         """Record that the read at `read_us` left the socket empty."""
-        self.arrived_after_us = read_us
+        self.earliest_arrival_us = read_us
 
 
 class TimedListener:
@@ -56,7 +56,7 @@
         self._estimator.before_read()
         stream = await self._listener.accept()
         self._estimator.after_read(self._clock.now_us())
-        self._waiting_since_us[stream] = self._estimator.arrived_after_us
+        self._waiting_since_us[stream] = self._estimator.earliest_arrival_us
         return stream
 
     async def aclose(self) -> None:
--- a/juniperreel/rpc/channel.py
+++ b/juniperreel/rpc/channel.py
@@ -28,7 +28,7 @@
     encode_timeout,
     never_indexed,
 )
-from juniperreel.rpc.status import Code, RpcError, code_of, decode_message, unpack_details
+from juniperreel.rpc.status import Code, RpcError, decode_message, status_code, unpack_details
 from juniperreel.rpc.stream import Stream
 
 RESET_FLUSH_US = 20_000  # maximum time that a cancelled call waits for its RST_STREAM to be written
@@ -66,8 +66,8 @@
     """The response of a unary call, with its initial and trailing metadata."""
 
     message: bytes
-    initial: list[tuple[str, str | bytes]]
-    trailing: list[tuple[str, str | bytes]]
+    initial_metadata: list[tuple[str, str | bytes]]
+    trailing_metadata: list[tuple[str, str | bytes]]
 
 
 class Channel:
@@ -88,7 +88,7 @@
         self.authority = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         self.connect_attempts = 0
         self.closed = False
-        self._call_blocks: dict[tuple[str, bool], bytes] = {}  # encoded headers, by path and compression
+        self._shared_blocks: dict[tuple[str, bool], bytes] = {}  # by path and compression
         self._network = network
         self._clock = clock
         self._host = host
@@ -98,7 +98,7 @@
         self._connect_timeout_us = connect_timeout_us
         self._backoff = backoff or Backoff()
         self._failures = 0
-        self._not_before_us = 0
+        self._next_attempt_us = 0
         self._last_error: ConnectError = ConnectTimedOutError("not connected yet")
         self._connection: Connection | None = None
         self._opening: trio.Event | None = None
@@ -139,16 +139,16 @@
             if self.closed or self._nursery is None:
                 raise ConnectTimedOutError(f"the channel to {self.authority} is closed")
             if self._opening is None:
-                if self._clock.now_us() < self._not_before_us:
-                    raise self._repeated_error()
+                if self._clock.now_us() < self._next_attempt_us:
+                    raise self._copy_of_last_error()
                 self._opening = trio.Event()
                 self._nursery.start_soon(self._open, self._opening)
             failures_before = self._failures
             await self._opening.wait()
             if self._failures > failures_before:
-                raise self._repeated_error()
+                raise self._copy_of_last_error()
 
-    def _repeated_error(self) -> ConnectError:
+    def _copy_of_last_error(self) -> ConnectError:
         """Return the last attempt's error, as a new exception for each call that fails with it."""
         return type(self._last_error)(str(self._last_error))
 
@@ -161,10 +161,10 @@
             self._last_error = error
             self._failures += 1
             delay_us = self._backoff.delay_us(self._failures, self._rng)
-            self._not_before_us = self._clock.now_us() + delay_us
+            self._next_attempt_us = self._clock.now_us() + delay_us
         else:
             self._failures = 0
-            self._not_before_us = 0
+            self._next_attempt_us = 0
         finally:
             self._opening = None
             done.set()
@@ -193,17 +193,17 @@
 
     def _block(self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool) -> bytes:
         """Return the encoded headers of a call."""
-        block = self._call_blocks.get((path, gzip))
+        block = self._shared_blocks.get((path, gzip))
         if block is None:
-            block = self._encode_call_block(path, gzip)
-            self._call_blocks[path, gzip] = block
+            block = self._encode_shared_headers(path, gzip)
+            self._shared_blocks[path, gzip] = block
         if timeout_us is not None:
             block += encode_headers([never_indexed("grpc-timeout", encode_timeout(timeout_us))])
         if metadata:
             block += encode_headers(encode_metadata(metadata))
         return block
 
-    def _encode_call_block(self, path: str, gzip: bool) -> bytes:
+    def _encode_shared_headers(self, path: str, gzip: bool) -> bytes:
         """Encode the headers that all calls of a path share."""
         headers = [
             (":method", "POST"),
@@ -277,9 +277,9 @@
             stream = await connection.open(block)
             yield connection, stream
         except ConnectionLostError as error:
-            raise call_error(str(error), processed=error.sent) from error
+            raise unanswered_call_error(str(error), processed=error.sent) from error
         except StreamResetError as error:
-            raise call_error(str(error), processed=error.processed) from error
+            raise unanswered_call_error(str(error), processed=error.processed) from error
         finally:
             if stream is not None and not stream.closed:
                 await self._end_stream(connection, stream)
@@ -294,7 +294,7 @@
             await connection.wait_written(RESET_FLUSH_US)
 
 
-def call_error(text: str, processed: bool) -> TransportError:
+def unanswered_call_error(text: str, processed: bool) -> TransportError:
     """Return the error of a call without a status; `processed`: whether the peer may have processed it."""
     return CallInterruptedError(text) if processed else CallUnprocessedError(text)
 
@@ -304,7 +304,7 @@
     headers = stream.raw_headers if stream.trailers is None else stream.trailers
     fields = dict(headers)
     http_status = (stream.headers or {}).get(":status")
-    code = code_of(fields.get("grpc-status"), http_status)
+    code = status_code(fields.get("grpc-status"), http_status)
     try:
         trailing = decode_metadata(headers)
     except MetadataError as error:
--- a/juniperreel/rpc/connection.py
+++ b/juniperreel/rpc/connection.py
@@ -261,7 +261,7 @@
             return
         stream = Stream(self, event.stream, self._writer.queued)
         stream.receive_headers(event.block, event.ended)
-        stream.arrived_us = self._arrival.arrived_after_us
+        stream.arrived_us = self._arrival.earliest_arrival_us
         self.streams[event.stream] = stream
         self._new_streams.append(stream)
 
--- a/juniperreel/rpc/http2.py
+++ b/juniperreel/rpc/http2.py
@@ -84,9 +84,9 @@
         self._partial: PartialHeaderBlock | None = None
         self._events: list[Event] = []
         self._failed = False
-        self._send_greeting()
+        self._send_preface()
 
-    def _send_greeting(self) -> None:
+    def _send_preface(self) -> None:
         if self.client:
             self.out += PREFACE
         values = [
@@ -171,13 +171,13 @@
         """Return consumed bytes to the peer's windows, in updates of at least half a window."""
         if count <= 0:
             return
-        increment = self._receive_window.give_back(count)
+        increment = self._receive_window.acknowledge(count)
         if increment:
             self._send_window_update(0, increment)
         state = self._streams.get(stream)
         if state is None or not state.remote_open:
             return
-        increment = state.receive_window.give_back(count)
+        increment = state.receive_window.acknowledge(count)
         if increment:
             self._send_window_update(stream, increment)
 
--- a/juniperreel/rpc/status.py
+++ b/juniperreel/rpc/status.py
@@ -125,13 +125,13 @@
         return []
     found: list[Message] = []
     for packed in status.details:
-        message = unpack(packed)
+        message = unpack_detail(packed)
         if message is not None:
             found.append(message)
     return found
 
 
-def unpack(packed: Any) -> Message | None:
+def unpack_detail(packed: Any) -> Message | None:
     """Return the detail, or None if its type is unknown or its bytes are malformed."""
     kind = DETAIL_TYPES.get(packed.type_url.rpartition("/")[2])
     if kind is None:
@@ -163,7 +163,7 @@
 
 
 # Used if the response has no gRPC status (gRPC's http-grpc-status-mapping).
-CODES_OF_HTTP_STATUS = {
+CODES_BY_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -175,11 +175,11 @@
 }
 
 
-def code_of(text: str | None, http_status: str | None) -> Code:
+def status_code(text: str | None, http_status: str | None) -> Code:
     """Return the call's status from grpc-status and the HTTP status; UNKNOWN if they are malformed."""
     if text is None:
         if http_status is not None and http_status != "200" and http_status.isdigit():
-            return CODES_OF_HTTP_STATUS.get(int(http_status[:4]), Code.UNKNOWN)
+            return CODES_BY_HTTP_STATUS.get(int(http_status[:4]), Code.UNKNOWN)
         return Code.UNKNOWN
     try:
         return Code(int(text[:4]))
--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -297,8 +297,8 @@
         sent: list[tuple[str, str | bytes]] = [("x-a", "b"), ("x-c-bin", b"\x00\xff")]
         reply = await channel.unary("/t.Echo/Unary", b"hello" * 1000, sent, 5_000_000, gzip=True)
         assert reply.message == b"hello" * 1000
-        assert reply.trailing == sent
-        assert ("x-first", "1") in reply.initial
+        assert reply.trailing_metadata == sent
+        assert ("x-first", "1") in reply.initial_metadata
         body = random.Random(2).randbytes(BIG)
         assert (await channel.unary("/t.Echo/Unary", body)).message == body
         with pytest.raises(RpcError) as failed:
