--- a/juniperreel/frontends/grpc.py
+++ b/juniperreel/frontends/grpc.py
@@ -165,7 +165,7 @@
         result = answer.result
         if isinstance(result, Result):
             result = to_result_set(result)
-        call.trailing.append((TOKEN_HEADER, token))
+        call.trailing_metadata.append((TOKEN_HEADER, token))
         response = records_pb2.ExecuteResponse(
             result=result,
             causal_token=token,
--- a/juniperreel/frontends/grpc_request.py
+++ b/juniperreel/frontends/grpc_request.py
@@ -102,7 +102,7 @@
 
         An empty field is no token; an empty header is an error, since somebody meant to send one.
         """
-        header_tokens = call.all(TOKEN_HEADER)
+        header_tokens = call.metadata_values(TOKEN_HEADER)
         if len(header_tokens) > MAX_TOKENS:
             raise invalid_argument(TOKEN_HEADER, f"more than {MAX_TOKENS} tokens")
         token = EMPTY
@@ -132,7 +132,7 @@
 
 def is_retry(call: Call) -> bool:
     """Whether the client marks the call as a retry (gRFC A6)."""
-    previous = call.get(PREVIOUS_ATTEMPTS_HEADER)
+    previous = call.metadata_value(PREVIOUS_ATTEMPTS_HEADER)
     return isinstance(previous, str) and previous.isdigit() and int(previous[:MAX_COUNT_DIGITS]) > 0
 
 
--- a/juniperreel/rpc/call.py
+++ b/juniperreel/rpc/call.py
@@ -31,10 +31,10 @@
         timeout = headers.get("grpc-timeout")
         self.deadline_us = None if timeout is None else self.started_us + decode_timeout(timeout)
         self.gzip = headers.get("grpc-encoding") == "gzip"
-        self.trailing: list[tuple[str, str | bytes]] = []
+        self.trailing_metadata: list[tuple[str, str | bytes]] = []
         self.admission: Any = None  # the result of `Method.admit`, until the handler takes it
         self.deadline_status = DEADLINE_EXCEEDED  # the call's status if its deadline passes
-        self._initial: list[tuple[str, str | bytes]] = []
+        self._initial_metadata: list[tuple[str, str | bytes]] = []
         self._headers_sent = False
         self._connection = connection
         self._stream = stream
@@ -53,18 +53,18 @@
         self.admission = None
         return admission
 
-    def get(self, name: str) -> str | bytes | None:
+    def metadata_value(self, name: str) -> str | bytes | None:
         """Return the last value of a metadata key, or None."""
-        values = self.all(name)
+        values = self.metadata_values(name)
         return values[-1] if values else None
 
-    def all(self, name: str) -> list[str | bytes]:
+    def metadata_values(self, name: str) -> list[str | bytes]:
         """Return all values of a metadata key."""
         return [value for key, value in self.metadata if key == name]
 
-    def initial(self, metadata: Metadata) -> None:
+    def add_initial_metadata(self, metadata: Metadata) -> None:
         """Add initial metadata, which is sent before the first message."""
-        self._initial.extend(metadata)
+        self._initial_metadata.extend(metadata)
 
     async def receive(self) -> bytes | None:
         """Return the client's next message, or None after its last one."""
@@ -87,18 +87,20 @@
             return
         self._headers_sent = True
         block = RESPONSE_BLOCK
-        if self.gzip or self._initial:
+        if self.gzip or self._initial_metadata:
             encoding = [("grpc-encoding", "gzip")] if self.gzip else []
-            block += encode_headers(encoding + encode_metadata(self._initial))
+            block += encode_headers(encoding + encode_metadata(self._initial_metadata))
         self._connection.send_block(self._stream, block)
 
     def finish(self, error: RpcError | None) -> None:
         """Send the trailers; in one block with the headers if those were not sent before."""
         headers: Headers = []
         if not self._headers_sent:
-            headers += RESPONSE_HEADERS + encode_metadata(self._initial)
+            headers += RESPONSE_HEADERS + encode_metadata(self._initial_metadata)
         self._headers_sent = True
-        self._connection.send_headers(self._stream, headers + trailers(error, self.trailing), end=True)
+        self._connection.send_headers(
+            self._stream, headers + trailers(error, self.trailing_metadata), end=True
+        )
 
 
 def trailers(error: RpcError | None, trailing: Metadata = ()) -> Headers:
--- a/juniperreel/rpc/channel.py
+++ b/juniperreel/rpc/channel.py
@@ -191,7 +191,9 @@
 
     # Calls.
 
-    def _block(self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool) -> bytes:
+    def _encode_call_headers(
+        self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool
+    ) -> bytes:
         """Return the encoded headers of a call."""
         block = self._shared_blocks.get((path, gzip))
         if block is None:
@@ -270,7 +272,7 @@
         self, path: str, metadata: Metadata, timeout_us: int | None, gzip: bool
     ) -> AsyncIterator[tuple[Connection, Stream]]:
         """Open a stream for one call; remove or reset it at the end."""
-        block = self._block(path, metadata, timeout_us, gzip)
+        block = self._encode_call_headers(path, metadata, timeout_us, gzip)
         connection = await self.connection()
         stream: Stream | None = None
         try:
--- a/tests/e2e/test_overload.py
+++ b/tests/e2e/test_overload.py
@@ -277,7 +277,7 @@
             slow.edge.driver.admission_controller.max_open = 0
             metadata = [("juniperreel-class", "own"), ("juniperreel-group", "0")]
             link = await crowd.channels[0].connection()
-            block = crowd.channels[0]._block(EXECUTE, metadata, 5_000_000, False)
+            block = crowd.channels[0]._encode_call_headers(EXECUTE, metadata, 5_000_000, False)
             stream = await link.open(block)  # and never a message
             while stream.trailers is None and not stream.ended:
                 await stream.changed.wait()
--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -46,8 +46,8 @@
         }
 
     async def unary(self, call: Call, request: bytes) -> bytes:
-        call.initial([("x-first", "1")])
-        call.trailing.extend((k, v) for k, v in call.metadata if k.startswith("x-"))
+        call.add_initial_metadata([("x-first", "1")])
+        call.trailing_metadata.extend((k, v) for k, v in call.metadata if k.startswith("x-"))
         await trio.lowlevel.checkpoint()
         return request
 
@@ -67,7 +67,7 @@
         self.tries += 1
         if self.tries < 3:
             raise RpcError(Code.UNAVAILABLE, "again", metadata=[(PUSHBACK, "10")])
-        previous = call.get("grpc-previous-rpc-attempts")
+        previous = call.metadata_value("grpc-previous-rpc-attempts")
         return str(previous).encode()
 
     async def count(self, call: Call) -> None:
