--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -1,4 +1,4 @@
-"""grpcio, unmodified, as the other side: the independent witness that this is gRPC."""
+"""Interoperability with unmodified grpcio, as client and as server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Echo:
-    """A service whose calls show each part of the protocol."""
+    """A service whose methods exercise the features of the protocol."""
 
     def __init__(self) -> None:
         self.cancelled = trio.Event()
@@ -80,7 +80,7 @@
 
 
 class RunningServer:
-    """Our server, and what its handlers and errors were."""
+    """Our server, with its service and the exceptions that its handlers raised."""
 
     def __init__(self, echo: Echo, port: int, errors: list[Exception], server: Server) -> None:
         self.echo = echo
@@ -190,7 +190,9 @@
     config = {"methodConfig": [{"name": [{"service": "t.Echo"}], "retryPolicy": policy}]}
 
     def use(channel: grpc.Channel) -> bytes:
-        return bytes(unary(channel, "Flaky")(b"", timeout=4))  # less than one backoff: pushback rules
+        return bytes(
+            unary(channel, "Flaky")(b"", timeout=4)
+        )  # less than one backoff, so the pushback must be used
 
     options = (("grpc.service_config", json.dumps(config)), ("grpc.enable_retries", 1))
     assert await served.with_channel(use, options=options) == b"2"
@@ -238,7 +240,7 @@
     assert len(await served.with_channel(use)) == sum(len(str(n)) for n in range(2000)) * 1000
 
 
-# Our channel against a grpcio server.
+# Our channel with a grpcio server.
 
 
 class Generic(grpc.GenericRpcHandler):  # type: ignore[misc]
--- a/tests/rpc/test_hostile.py
+++ b/tests/rpc/test_hostile.py
@@ -1,4 +1,4 @@
-"""Peers that break the protocol or abuse it: their connection ends, the program goes on."""
+"""Peers that break or abuse the protocol: only their own connection may be affected."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Target:
-    """A server of ours, and a well-behaved client that must be served whatever else happens."""
+    """A server, and a well-behaved client that must be served throughout an attack."""
 
     def __init__(self, port: int, good: Channel, server: Server) -> None:
         self.port = port
@@ -53,7 +53,7 @@
             assert (await self.good.unary("/t/Echo", b"alive")).message == b"alive"
 
     async def attack(self, data: bytes) -> bytes:
-        """Sends it all, then reads until the server closes or says nothing for a while."""
+        """Send `data`, then read until the server closes the connection or the time-out passes."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         got = b""
         async with stream:
@@ -109,7 +109,9 @@
 
 
 def hpack_bomb() -> bytes:
-    fill = b"\x40\x01a" + b"\x7f\x81\x1e" + b"b" * 4000  # into the dynamic table, then named again and again
+    fill = (
+        b"\x40\x01a" + b"\x7f\x81\x1e" + b"b" * 4000
+    )  # added to the dynamic table, then referenced 12,000 times
     block = fill + b"\xbe" * 12_000
     return PREFACE + SETTINGS + raw_frame(1, 4, 1, block)
 
@@ -185,7 +187,7 @@
 
 
 async def test_peer_that_never_reads_is_disconnected(target: Target) -> None:
-    """It asks for much and takes nothing: the send buffer and flow control hold, then the ping fails."""
+    """It requests large responses and never reads: the send buffer stays bounded, then the ping times out."""
     connection = client()
     connection.increment_flow_control_window((1 << 31) - 1 - 65535)
     connection.update_settings({4: (1 << 31) - 1})
@@ -198,7 +200,7 @@
             for number in range(1, 401, 2):
                 connection.send_headers(number, headers())
                 for at in range(0, len(body), 16384):
-                    # h2 alone would wait for windows; this peer does not.
+                    # Sent without h2, which would wait for the flow-control window.
                     data = body[at : at + 16384]
                     await stream.send_all(connection.data_to_send() + raw_frame(0, 0, number, data))
                 await stream.send_all(raw_frame(0, 1, number, b""))
@@ -262,13 +264,13 @@
         fresh.close()
 
 
-# Scripted members against our channel.
+# Our channel with scripted peers.
 
 Peer = Callable[[trio.SocketStream, h2.connection.H2Connection], Awaitable[None]]
 
 
 async def calls_on(peer: Peer, count: int) -> list[str]:
-    """`count` calls at once on a peer that plays a script; how each ended."""
+    """Make `count` concurrent calls to a scripted peer; returns the outcome of each."""
     ends: list[str] = []
 
     async def accept(stream: trio.SocketStream) -> None:
@@ -298,7 +300,7 @@
 
 
 async def take(stream: trio.SocketStream, connection: h2.connection.H2Connection, count: int) -> None:
-    """Until `count` requests have arrived whole."""
+    """Read until `count` complete requests have arrived."""
     ended = 0
     while ended < count:
         for event in connection.receive_data(await stream.receive_some(65536)):
@@ -308,7 +310,9 @@
 async def test_goaway_separates_unprocessed_streams_from_interrupted_ones() -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
         await take(stream, connection, 20)
-        await stream.send_all(raw_frame(7, 0, 0, struct.pack(">II", 19, 0)))  # it looked at ten of them
+        await stream.send_all(
+            raw_frame(7, 0, 0, struct.pack(">II", 19, 0))
+        )  # the first ten may have been processed
         await trio.sleep(0.05)
 
     ends = await calls_on(peer, 20)
@@ -347,7 +351,7 @@
     async def peer(_stream: trio.SocketStream, _connection: h2.connection.H2Connection) -> None:
         await trio.sleep(SECONDS)
 
-    assert await calls_on(peer, 3) == ["CallInterruptedError"] * 3  # pings go unanswered
+    assert await calls_on(peer, 3) == ["CallInterruptedError"] * 3  # pings are not acknowledged
 
 
 @pytest.mark.parametrize("body", [b"\x00\xff\xff\xff\xff", b"\x02\x00\x00\x00\x00", b"\x01\x00\x00\x00\x01x"])
@@ -362,7 +366,7 @@
     assert await calls_on(peer, 1) == ["RpcError"]
 
 
-# A thousand seeds of noise.
+# Random input.
 
 frames = st.builds(
     raw_frame,
@@ -378,7 +382,7 @@
 def test_noise_ends_the_connection_without_an_exception(
     parts: list[bytes], preface: bool, calls: int
 ) -> None:
-    """In memory: a server's link takes anything and ends, without an exception and with little kept."""
+    """A server's connection ends without an exception, and without buffered bytes or open streams."""
 
     async def run() -> None:
         ours, theirs = trio.testing.memory_stream_pair()
--- a/tests/rpc/test_http2.py
+++ b/tests/rpc/test_http2.py
@@ -1,4 +1,7 @@
-"""Our HTTP/2 protocol beside h2, the judge: the same random frames, valid and broken, the same verdicts."""
+"""Differential test of our HTTP/2 protocol against h2, with random frames, valid and malformed.
+
+Both must return the same events, and reject the same frames, except for the known differences below.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
 
 
 class FrameGenerator:
-    """A client's bytes, frame by frame; each is malformed with the probability `wrong`."""
+    """Generates a client's frames; `wrong` is the probability of each malformation."""
 
     def __init__(self, rng: random.Random, wrong: float) -> None:
         self.rng = rng
@@ -166,7 +169,7 @@
 
 
 class H2Server:
-    """h2 as a server, its events in the form of ours."""
+    """h2 as a server, reporting its events in a form common to both implementations."""
 
     def __init__(self) -> None:
         self.connection = h2.connection.H2Connection(
@@ -212,7 +215,7 @@
 
 
 class OurServer:
-    """Our protocol state as a server."""
+    """Our implementation as a server."""
 
     def __init__(self) -> None:
         self.protocol = Http2Protocol(False, LIMITS)
@@ -245,14 +248,14 @@
         return str(error)
 
 
-# Where the two differ, the RFC (9113) is with us: what we refuse and h2 takes ...
+# Known differences, in which we follow RFC 9113. Connection errors that h2 does not raise, by message:
 STRICTER = {
     "RST_STREAM on a stream that was never opened": "6.4 has it a connection error",
     "HEADERS on a stream that is closed": "5.1; h2 answers with RST_STREAM where the peer had reset it",
     "INITIAL_WINDOW_SIZE out of range": "6.5.2; h2 looks at the last of several values in one frame only",
     "MAX_FRAME_SIZE out of range": "the same",
 }
-# ... and what h2 refuses and we answer with RST_STREAM.
+# Stream errors (RST_STREAM) that h2 treats as connection errors, by frame type:
 MILDER = {FrameType.WINDOW_UPDATE: "6.9: a window that grows by nothing breaks its stream alone"}
 
 
@@ -263,7 +266,7 @@
 
 
 def run(seed: int, wrong: float) -> tuple[int, str]:
-    """How many pieces both took, and how it ended."""
+    """Feed the same frames to both; returns how many both accepted, and the final state."""
     rng = random.Random(seed)
     generator = FrameGenerator(rng, wrong)
     ours = OurServer()
@@ -295,7 +298,7 @@
 
 
 def outcome_of(*pieces: bytes, limits: Limits = LIMITS) -> str:
-    """How a server's connection stands after a client's bytes."""
+    """The state of a server's connection after a client's frames: "open", or the error."""
     protocol = Http2Protocol(False, limits)
     failure: Http2Error | None = None
     try:
@@ -356,7 +359,7 @@
 
 
 def test_cached_blocks_after_a_table_change_are_decoded_again() -> None:
-    """Danger: the same bytes mean another header once the table has changed."""
+    """The same bytes decode to other headers once the dynamic table has changed."""
     encoder = Encoder()
     protocol = Http2Protocol(False, LIMITS)
     protocol.receive(h2frames.PREFACE + encode_frame(FrameType.SETTINGS, 0, 0, b""))
@@ -384,7 +387,7 @@
 
 
 def test_encoded_headers_decode_without_a_table() -> None:
-    """Any order of our blocks unpacks to the same headers, after a peer that allows no table, too."""
+    """Our blocks decode in any order, also if the peer has set the dynamic table's size to 0."""
     protocol = Http2Protocol(True, LIMITS)
     protocol.receive(encode_frame(FrameType.SETTINGS, 0, 0, struct.pack(">HI", Setting.HEADER_TABLE_SIZE, 0)))
     decoder = Decoder()
--- a/tests/rpc/test_stall_monitor.py
+++ b/tests/rpc/test_stall_monitor.py
@@ -1,4 +1,8 @@
-"""Time in the socket counts: what a stalled loop finds is as old as it may be."""
+"""Time that a call waits in the socket counts towards its deadline.
+
+While the event loop is stalled, calls wait in the kernel; they must be treated as having arrived at the
+earliest possible time.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 def request(timeout_ms: int) -> list[bytes]:
-    """A client's greeting, and one call's bytes."""
+    """A client's connection preface, and the bytes of one call."""
     client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
     client.initiate_connection()
     greeting = client.data_to_send()
@@ -36,7 +40,7 @@
 
 
 async def wait_for_status(peer: socket.socket) -> None:
-    """Read until the call was answered."""
+    """Read until the response's status has arrived."""
     received = b""
     peer.setblocking(False)
     with trio.fail_after(SECONDS):
@@ -49,7 +53,7 @@
 
 
 async def ages_of_served_calls(timeout_ms: int, stall: bool) -> list[int]:
-    """How old calls were when their handler began, in microseconds; none where their deadline had passed."""
+    """The ages of calls in microseconds when their handlers started; empty if the deadline had passed."""
     clock = Clock()
     stall_monitor = StallMonitor(clock)
     stall_monitor.install()
@@ -79,7 +83,7 @@
         thread = threading.Thread(target=send)
         thread.start()
         if stall:
-            done.wait()  # the loop stands still, with the call in the socket's buffer
+            done.wait()  # blocks the event loop while the call is in the socket's buffer
         await wait_for_status(peer)
         thread.join()
         peer.close()
@@ -99,7 +103,7 @@
 
 
 async def test_call_that_came_with_its_connection_begins_with_the_age_of_both() -> None:
-    """The connection waits to be accepted, and the call with it, while the loop stands still."""
+    """The connection waits to be accepted, and the call in its socket, while the event loop is blocked."""
     clock = Clock()
     stall_monitor = StallMonitor(clock)
     stall_monitor.install()
@@ -135,7 +139,7 @@
         for _ in range(3):
             await stall_monitor.wait_for_new_work_budget()
             passes.append(stall_monitor.poll_count)
-            began = stall_monitor.begin_new_work() - 50_000_000  # as if 50 ms had gone into it
+            began = stall_monitor.begin_new_work() - 50_000_000  # as if it had taken 50 ms
             stall_monitor.end_new_work(began)
         return passes
 
