--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -243,7 +243,7 @@
 # Our channel with a grpcio server.
 
 
-class Generic(grpc.GenericRpcHandler):  # type: ignore[misc]
+class GrpcioEcho(grpc.GenericRpcHandler):  # type: ignore[misc]
     def service(self, details: Any) -> Any:
         return {
             "/t.Echo/Unary": grpc.unary_unary_rpc_method_handler(self.unary),
@@ -277,8 +277,8 @@
 
 
 @pytest.fixture
-def theirs() -> Iterator[tuple[Generic, int]]:
-    handler = Generic()
+def grpcio_server() -> Iterator[tuple[GrpcioEcho, int]]:
+    handler = GrpcioEcho()
     options = (("grpc.max_receive_message_length", 8 << 20),)
     server = grpc.server(
         futures.ThreadPoolExecutor(8), handlers=(handler,), options=options, compression=grpc.Compression.Gzip
@@ -290,9 +290,9 @@
 
 
 async def test_channel_against_a_grpcio_server_serves_each_kind_of_call(
-    theirs: tuple[Generic, int], nursery: trio.Nursery
+    grpcio_server: tuple[GrpcioEcho, int], nursery: trio.Nursery
 ) -> None:
-    handler, port = theirs
+    handler, port = grpcio_server
     channel = Channel(TcpNetwork(), Clock(), "127.0.0.1", port, Limits(), random.Random(1), 5_000_000)
     await nursery.start(channel.run)
     with trio.fail_after(SECONDS):
--- a/tests/rpc/test_hostile.py
+++ b/tests/rpc/test_hostile.py
@@ -43,14 +43,14 @@
 class Target:
     """A server, and a well-behaved client that must be served throughout an attack."""
 
-    def __init__(self, port: int, good: Channel, server: Server) -> None:
+    def __init__(self, port: int, well_behaved: Channel, server: Server) -> None:
         self.port = port
-        self.good = good
+        self.well_behaved = well_behaved
         self.server = server
 
-    async def still_serves(self) -> None:
+    async def assert_serves(self) -> None:
         with trio.fail_after(SECONDS):
-            assert (await self.good.unary("/t/Echo", b"alive")).message == b"alive"
+            assert (await self.well_behaved.unary("/t/Echo", b"alive")).message == b"alive"
 
     async def attack(self, data: bytes) -> bytes:
         """Send `data`, then read until the server closes the connection or the time-out passes."""
@@ -80,9 +80,9 @@
     server = Server({"/t/Echo": Method(unary=echo)}, LIMITS, clock)
     listener = await network.listen("127.0.0.1", 0)
     await nursery.start(server.serve, listener)
-    good = Channel(network, clock, "127.0.0.1", listener.port, Limits(), random.Random(1))
-    await nursery.start(good.run)
-    return Target(listener.port, good, server)
+    well_behaved = Channel(network, clock, "127.0.0.1", listener.port, Limits(), random.Random(1))
+    await nursery.start(well_behaved.run)
+    return Target(listener.port, well_behaved, server)
 
 
 def client() -> h2.connection.H2Connection:
@@ -165,7 +165,7 @@
 async def test_attack_ends_its_own_connection_only(target: Target, name: str) -> None:
     with trio.fail_after(SECONDS):
         await target.attack(ATTACKS[name])
-    await target.still_serves()
+    await target.assert_serves()
     with trio.fail_after(SECONDS):
         while len(target.server._connections) > 1:
             await trio.sleep(0.01)
@@ -183,7 +183,7 @@
         stream = await trio.open_tcp_stream("127.0.0.1", target.port)
         while await stream.receive_some(65536):
             pass
-    await target.still_serves()
+    await target.assert_serves()
 
 
 async def test_peer_that_never_reads_is_disconnected(target: Target) -> None:
@@ -208,7 +208,7 @@
             pass
         while len(target.server._connections) > 1:
             await trio.sleep(0.01)
-    await target.still_serves()
+    await target.assert_serves()
 
 
 @pytest.mark.parametrize(
@@ -239,7 +239,7 @@
 
 
 async def test_exhausted_descriptors_delay_connections_only(target: Target) -> None:
-    await target.still_serves()
+    await target.assert_serves()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     opened: list[trio.SocketStream] = []
     try:
@@ -251,7 +251,7 @@
                 opened.append(await trio.open_tcp_stream("127.0.0.1", target.port))
             except OSError:
                 break
-        await target.still_serves()
+        await target.assert_serves()
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         for stream in opened:
@@ -269,9 +269,9 @@
 Peer = Callable[[trio.SocketStream, h2.connection.H2Connection], Awaitable[None]]
 
 
-async def calls_on(peer: Peer, count: int) -> list[str]:
+async def outcomes_of_calls(peer: Peer, count: int) -> list[str]:
     """Make `count` concurrent calls to a scripted peer; returns the outcome of each."""
-    ends: list[str] = []
+    outcomes: list[str] = []
 
     async def accept(stream: trio.SocketStream) -> None:
         connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
@@ -279,12 +279,12 @@
         await stream.send_all(connection.data_to_send())
         await peer(stream, connection)
 
-    async def one(channel: Channel) -> None:
+    async def make_call(channel: Channel) -> None:
         try:
             await channel.unary("/t/Echo", b"x")
-            ends.append("ok")
+            outcomes.append("ok")
         except (CallUnprocessedError, CallInterruptedError, RpcError) as error:
-            ends.append(type(error).__name__)
+            outcomes.append(type(error).__name__)
 
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, accept, 0)
@@ -294,12 +294,14 @@
         with trio.fail_after(SECONDS):
             async with trio.open_nursery() as calls:
                 for _ in range(count):
-                    calls.start_soon(one, channel)
+                    calls.start_soon(make_call, channel)
         nursery.cancel_scope.cancel()
-    return ends
+    return outcomes
 
 
-async def take(stream: trio.SocketStream, connection: h2.connection.H2Connection, count: int) -> None:
+async def receive_requests(
+    stream: trio.SocketStream, connection: h2.connection.H2Connection, count: int
+) -> None:
     """Read until `count` complete requests have arrived."""
     ended = 0
     while ended < count:
@@ -309,20 +311,20 @@
 
 async def test_goaway_separates_unprocessed_streams_from_interrupted_ones() -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
-        await take(stream, connection, 20)
+        await receive_requests(stream, connection, 20)
         await stream.send_all(
             raw_frame(7, 0, 0, struct.pack(">II", 19, 0))
         )  # the first ten may have been processed
         await trio.sleep(0.05)
 
-    ends = await calls_on(peer, 20)
-    assert ends.count("CallUnprocessedError") == 10
-    assert ends.count("CallInterruptedError") == 10
+    outcomes = await outcomes_of_calls(peer, 20)
+    assert outcomes.count("CallUnprocessedError") == 10
+    assert outcomes.count("CallInterruptedError") == 10
 
 
 async def test_streams_below_the_last_one_of_a_goaway_finish() -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
-        await take(stream, connection, 4)
+        await receive_requests(stream, connection, 4)
         await stream.send_all(raw_frame(7, 0, 0, struct.pack(">II", 3, 0)))
         for number in (1, 3):
             connection.send_headers(number, [(":status", "200"), ("content-type", "application/grpc")])
@@ -331,8 +333,8 @@
         await stream.send_all(connection.data_to_send())
         await trio.sleep(1)
 
-    ends = await calls_on(peer, 4)
-    assert sorted(ends) == ["CallUnprocessedError", "CallUnprocessedError", "ok", "ok"]
+    outcomes = await outcomes_of_calls(peer, 4)
+    assert sorted(outcomes) == ["CallUnprocessedError", "CallUnprocessedError", "ok", "ok"]
 
 
 @pytest.mark.parametrize(
@@ -340,30 +342,30 @@
 )
 async def test_reset_with_each_code_fails_the_call_with_its_error(code: int, end: str) -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
-        await take(stream, connection, 20)
+        await receive_requests(stream, connection, 20)
         await stream.send_all(b"".join(raw_frame(3, 0, n, struct.pack(">I", code)) for n in range(1, 40, 2)))
         await trio.sleep(1)
 
-    assert await calls_on(peer, 20) == [end] * 20
+    assert await outcomes_of_calls(peer, 20) == [end] * 20
 
 
 async def test_peer_that_stops_reading_interrupts_the_call() -> None:
     async def peer(_stream: trio.SocketStream, _connection: h2.connection.H2Connection) -> None:
         await trio.sleep(SECONDS)
 
-    assert await calls_on(peer, 3) == ["CallInterruptedError"] * 3  # pings are not acknowledged
+    assert await outcomes_of_calls(peer, 3) == ["CallInterruptedError"] * 3  # pings are not acknowledged
 
 
 @pytest.mark.parametrize("body", [b"\x00\xff\xff\xff\xff", b"\x02\x00\x00\x00\x00", b"\x01\x00\x00\x00\x01x"])
 async def test_malformed_message_in_a_response_fails_the_call(body: bytes) -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
-        await take(stream, connection, 1)
+        await receive_requests(stream, connection, 1)
         connection.send_headers(1, [(":status", "200"), ("content-type", "application/grpc")])
         connection.send_data(1, body)
         await stream.send_all(connection.data_to_send())
         await trio.sleep(1)
 
-    assert await calls_on(peer, 1) == ["RpcError"]
+    assert await outcomes_of_calls(peer, 1) == ["RpcError"]
 
 
 # Random input.
@@ -382,7 +384,7 @@
 def test_noise_ends_the_connection_without_an_exception(
     parts: list[bytes], preface: bool, calls: int
 ) -> None:
-    """A server's connection ends without an exception, and without buffered bytes or open streams."""
+    """A server's connection outcomes without an exception, and without buffered bytes or open streams."""
 
     async def run() -> None:
         ours, theirs = trio.testing.memory_stream_pair()
@@ -415,8 +417,8 @@
 
 
 @given(st.lists(st.binary(max_size=300), max_size=6), st.integers(1, 50), st.booleans())
-def test_framed_messages_in_any_pieces_round_trip(messages: list[bytes], step: int, squeeze: bool) -> None:
-    data = b"".join(frame_message(m * 20, squeeze) for m in messages)
+def test_framed_messages_in_any_pieces_round_trip(messages: list[bytes], step: int, compress: bool) -> None:
+    data = b"".join(frame_message(m * 20, compress) for m in messages)
     deframer = Deframer(1 << 20, "gzip")
     got = []
     for at in range(0, len(data), step * 50):
--- a/tests/rpc/test_http2.py
+++ b/tests/rpc/test_http2.py
@@ -41,11 +41,11 @@
 
 
 class FrameGenerator:
-    """Generates a client's frames; `wrong` is the probability of each malformation."""
+    """Generates a client's frames; `error_rate` is the probability of each malformation."""
 
-    def __init__(self, rng: random.Random, wrong: float) -> None:
+    def __init__(self, rng: random.Random, error_rate: float) -> None:
         self.rng = rng
-        self.wrong = wrong
+        self.error_rate = error_rate
         self.encoder = Encoder()
         self.next = 1
         self.open: list[int] = []
@@ -57,7 +57,7 @@
             (name, "trailers" if name == "te" else self.rng.choice(("1S", "x", "yy" * 20)))
             for name in self.rng.sample(NAMES, self.rng.randrange(4))
         )
-        if self.rng.random() < self.wrong:
+        if self.rng.random() < self.error_rate:
             if self.rng.random() < 0.5:
                 headers.append(self.rng.choice(BAD_HEADERS))
             else:
@@ -65,7 +65,7 @@
         return headers
 
     def stream(self) -> int:
-        if self.rng.random() < self.wrong:
+        if self.rng.random() < self.error_rate:
             return self.rng.choice((0, 2, self.next, self.next + 2, max(self.next - 2, 1)))
         return self.rng.choice(self.open) if self.open else 0
 
@@ -73,7 +73,7 @@
         block: bytes = self.encoder.encode(self.request(), huffman=self.rng.random() < 0.5)
         number = self.next
         self.next += 2
-        if self.rng.random() < self.wrong / 4:
+        if self.rng.random() < self.error_rate / 4:
             number = self.rng.choice((0, 2, max(number - 2, 0)))
         end = self.rng.random() < 0.3
         if not end:
@@ -81,18 +81,22 @@
         flags = h2frames.END_STREAM if end else 0
         if self.rng.random() < 0.15:
             block = (
-                struct.pack(">IB", self.rng.choice((0, number if self.rng.random() < self.wrong else 0)), 5)
+                struct.pack(
+                    ">IB", self.rng.choice((0, number if self.rng.random() < self.error_rate else 0)), 5
+                )
                 + block
             )
             flags |= h2frames.HAS_PRIORITY
         if self.rng.random() < 0.15:
             pad = self.rng.randrange(9)
-            block = bytes((pad + (300 if self.rng.random() < self.wrong else 0) & 255,)) + block + bytes(pad)
+            block = (
+                bytes((pad + (300 if self.rng.random() < self.error_rate else 0) & 255,)) + block + bytes(pad)
+            )
             flags |= h2frames.PADDED
         if self.rng.random() < 0.2 and not flags & (h2frames.PADDED | h2frames.HAS_PRIORITY):
             cut = self.rng.randrange(len(block) + 1)
             first = encode_frame(FrameType.HEADERS, flags, number, block[:cut])
-            other = number if self.rng.random() > self.wrong else number + 2
+            other = number if self.rng.random() > self.error_rate else number + 2
             return first + encode_frame(FrameType.CONTINUATION, h2frames.END_HEADERS, other, block[cut:])
         return encode_frame(FrameType.HEADERS, flags | h2frames.END_HEADERS, number, block)
 
@@ -108,7 +112,7 @@
             pad = self.rng.randrange(20)
             body = bytes((pad,)) + body + bytes(pad)
             flags |= h2frames.PADDED
-        if self.rng.random() < self.wrong / 3:
+        if self.rng.random() < self.error_rate / 3:
             body = bytes(self.rng.choice((16_384, 16_385, 70_000)))
         return encode_frame(FrameType.DATA, flags, number, body) if number or self.open else b""
 
@@ -117,15 +121,15 @@
             return b""
         number = self.open.pop()
         block: bytes = self.encoder.encode([("x-trail", "1")])
-        end = h2frames.END_STREAM if self.rng.random() > self.wrong else 0
+        end = h2frames.END_STREAM if self.rng.random() > self.error_rate else 0
         return encode_frame(FrameType.HEADERS, h2frames.END_HEADERS | end, number, block)
 
     def window(self) -> bytes:
-        more = self.rng.choice((1, 1000, 1 << 20))
-        if self.rng.random() < self.wrong:
-            more = self.rng.choice((0, (1 << 31) - 1))
+        next_frame = self.rng.choice((1, 1000, 1 << 20))
+        if self.rng.random() < self.error_rate:
+            next_frame = self.rng.choice((0, (1 << 31) - 1))
         return encode_frame(
-            FrameType.WINDOW_UPDATE, 0, self.rng.choice((0, self.stream())), struct.pack(">I", more)
+            FrameType.WINDOW_UPDATE, 0, self.rng.choice((0, self.stream())), struct.pack(">I", next_frame)
         )
 
     def reset(self) -> bytes:
@@ -138,28 +142,30 @@
 
     def settings(self) -> bytes:
         pairs = [(4, self.rng.choice((0, 100, 65_535, 1 << 20))), (5, 1 << 15), (3, 50), (9, 7), (1, 0)]
-        if self.rng.random() < self.wrong:
+        if self.rng.random() < self.error_rate:
             pairs.append(self.rng.choice(((4, 1 << 31), (5, 100), (2, 2))))
         payload = b"".join(
             struct.pack(">HI", *p) for p in self.rng.sample(pairs, self.rng.randrange(1, len(pairs)))
         )
-        if self.rng.random() < self.wrong / 3:
+        if self.rng.random() < self.error_rate / 3:
             payload += b"?"
-        return encode_frame(FrameType.SETTINGS, 0, 1 if self.rng.random() < self.wrong / 4 else 0, payload)
+        return encode_frame(
+            FrameType.SETTINGS, 0, 1 if self.rng.random() < self.error_rate / 4 else 0, payload
+        )
 
     def ping(self) -> bytes:
-        size = 7 if self.rng.random() < self.wrong else 8
+        size = 7 if self.rng.random() < self.error_rate else 8
         return encode_frame(FrameType.PING, self.rng.choice((0, 1)), 0, bytes(size))
 
     def priority(self) -> bytes:
         number = self.rng.choice((1, 3, 99))
-        other = number if self.rng.random() < self.wrong else 0
+        other = number if self.rng.random() < self.error_rate else 0
         return encode_frame(FrameType.PRIORITY, 0, number, struct.pack(">IB", other, 1))
 
     def unknown(self) -> bytes:
         return encode_frame(0x42, 0xFF, self.stream(), b"whatever")
 
-    def more(self) -> bytes:
+    def next_frame(self) -> bytes:
         kinds: tuple[tuple[Callable[[], bytes], int], ...] = (
             (self.headers, 8), (self.data, 8), (self.trailers, 2), (self.window, 3), (self.reset, 2),
             (self.settings, 1), (self.ping, 1), (self.priority, 1), (self.unknown, 1),
@@ -241,7 +247,7 @@
         self.protocol.send_headers(stream, encode_headers([(":status", "200")]), end=True)
 
 
-def verdict(side: H2Server | OurServer, piece: bytes) -> list[tuple[Any, ...]] | str:
+def feed_or_error(side: H2Server | OurServer, piece: bytes) -> list[tuple[Any, ...]] | str:
     try:
         return side.feed(piece)
     except (h2.exceptions.ProtocolError, Http2Error) as error:
@@ -256,31 +262,37 @@
     "MAX_FRAME_SIZE out of range": "the same",
 }
 # Stream errors (RST_STREAM) that h2 treats as connection errors, by frame type:
-MILDER = {FrameType.WINDOW_UPDATE: "6.9: a window that grows by nothing breaks its stream alone"}
-
-
-def excused(mine: list[tuple[Any, ...]] | str, their: list[tuple[Any, ...]] | str, piece: bytes) -> bool:
-    if isinstance(mine, str):
-        return isinstance(their, str) or mine in STRICTER
-    return isinstance(their, str) and piece[3] in MILDER and [e[0] for e in mine] in ([], ["reset"])
+MORE_LENIENT = {FrameType.WINDOW_UPDATE: "6.9: a window that grows by nothing breaks its stream alone"}
+
+
+def is_known_difference(
+    our_result: list[tuple[Any, ...]] | str, h2_result: list[tuple[Any, ...]] | str, piece: bytes
+) -> bool:
+    if isinstance(our_result, str):
+        return isinstance(h2_result, str) or our_result in STRICTER
+    return (
+        isinstance(h2_result, str)
+        and piece[3] in MORE_LENIENT
+        and [e[0] for e in our_result] in ([], ["reset"])
+    )
 
 
-def run(seed: int, wrong: float) -> tuple[int, str]:
+def compare_with_h2(seed: int, error_rate: float) -> tuple[int, str]:
     """Feed the same frames to both; returns how many both accepted, and the final state."""
     rng = random.Random(seed)
-    generator = FrameGenerator(rng, wrong)
+    generator = FrameGenerator(rng, error_rate)
     ours = OurServer()
     theirs = H2Server()
     pieces = generator.pieces + [b"" for _ in range(60)]
     for n, piece in enumerate(pieces):
-        piece = piece or generator.more()
-        mine = verdict(ours, piece)
-        their = verdict(theirs, piece)
-        if isinstance(mine, str) or isinstance(their, str):
-            assert excused(mine, their, piece), (seed, n, piece, mine, their)
+        piece = piece or generator.next_frame()
+        our_result = feed_or_error(ours, piece)
+        h2_result = feed_or_error(theirs, piece)
+        if isinstance(our_result, str) or isinstance(h2_result, str):
+            assert is_known_difference(our_result, h2_result, piece), (seed, n, piece, our_result, h2_result)
             return n, "rejected"
-        assert mine == their, (seed, n, piece)
-        for event in mine:
+        assert our_result == h2_result, (seed, n, piece)
+        for event in our_result:
             if event[0] == "ended" and rng.random() < 0.7:
                 ours.answer(event[1])
                 theirs.answer(event[1])
@@ -289,15 +301,15 @@
 
 def test_valid_frames_give_the_same_events_as_h2() -> None:
     for seed in range(SEEDS // 3):
-        assert run(seed, 0.0)[1] == "open", seed
+        assert compare_with_h2(seed, 0.0)[1] == "open", seed
 
 
 def test_broken_frames_are_rejected_where_h2_rejects_them() -> None:
-    ends = [run(seed, 0.004 * (seed % 10 + 1))[1] for seed in range(SEEDS)]
+    ends = [compare_with_h2(seed, 0.004 * (seed % 10 + 1))[1] for seed in range(SEEDS)]
     assert 0.1 < ends.count("open") / SEEDS < 0.95, "the sample has both kinds"
 
 
-def outcome_of(*pieces: bytes, limits: Limits = LIMITS) -> str:
+def final_state(*pieces: bytes, limits: Limits = LIMITS) -> str:
     """The state of a server's connection after a client's frames: "open", or the error."""
     protocol = Http2Protocol(False, limits)
     failure: Http2Error | None = None
@@ -343,7 +355,7 @@
 def test_malformed_frames_end_the_connection_with_their_error_code(
     pieces: list[bytes], expected: str
 ) -> None:
-    assert outcome_of(*pieces).startswith(expected)
+    assert final_state(*pieces).startswith(expected)
 
 
 def test_streams_above_the_limit_are_rejected_singly() -> None:
--- a/tests/rpc/test_stall_monitor.py
+++ b/tests/rpc/test_stall_monitor.py
@@ -29,14 +29,14 @@
     """A client's connection preface, and the bytes of one call."""
     client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
     client.initiate_connection()
-    greeting = client.data_to_send()
+    preface = client.data_to_send()
     headers = [
         (":method", "POST"), (":scheme", "http"), (":path", "/t/Echo"), (":authority", "a"),
         ("content-type", "application/grpc"), ("te", "trailers"), ("grpc-timeout", f"{timeout_ms}m"),
     ]  # fmt: skip
     client.send_headers(1, headers)
     client.send_data(1, frame_message(b"hello"), end_stream=True)
-    return [greeting, client.data_to_send()]
+    return [preface, client.data_to_send()]
 
 
 async def wait_for_status(peer: socket.socket) -> None:
@@ -57,19 +57,19 @@
     clock = Clock()
     stall_monitor = StallMonitor(clock)
     stall_monitor.install()
-    began: list[int] = []
+    start_ages: list[int] = []
 
     async def echo(call: Call, data: bytes) -> bytes:
-        began.append(clock.now_us() - call.started_us)
+        start_ages.append(clock.now_us() - call.started_us)
         return data
 
     server = Server({"/t/Echo": Method(unary=echo)}, Limits(), clock, stall_monitor=stall_monitor)
-    greeting, call = request(timeout_ms)
+    preface, call = request(timeout_ms)
     async with trio.open_nursery() as nursery:
         listener = await TcpNetwork().listen("127.0.0.1", 0)
         port = await nursery.start(server.serve, listener)
         peer = socket.create_connection(("127.0.0.1", port))
-        peer.sendall(greeting)
+        peer.sendall(preface)
         while not server._connections or not next(iter(server._connections)).settings_received.is_set():
             await trio.sleep(0.01)
         await trio.sleep(0.05)
@@ -89,7 +89,7 @@
         peer.close()
         nursery.cancel_scope.cancel()
     stall_monitor.uninstall()
-    return began
+    return start_ages
 
 
 async def test_call_whose_deadline_passed_in_the_socket_is_not_served() -> None:
@@ -139,8 +139,8 @@
         for _ in range(3):
             await stall_monitor.wait_for_new_work_budget()
             passes.append(stall_monitor.poll_count)
-            began = stall_monitor.begin_new_work() - 50_000_000  # as if it had taken 50 ms
-            stall_monitor.end_new_work(began)
+            start_ages = stall_monitor.begin_new_work() - 50_000_000  # as if it had taken 50 ms
+            stall_monitor.end_new_work(start_ages)
         return passes
 
     passes = trio.run(run)
