--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -190,9 +190,8 @@
     config = {"methodConfig": [{"name": [{"service": "t.Echo"}], "retryPolicy": policy}]}
 
     def use(channel: grpc.Channel) -> bytes:
-        return bytes(
-            unary(channel, "Flaky")(b"", timeout=4)
-        )  # less than one backoff, so the pushback must be used
+        # The time-out is shorter than one backoff, so the retries must follow the pushback.
+        return bytes(unary(channel, "Flaky")(b"", timeout=4))
 
     options = (("grpc.service_config", json.dumps(config)), ("grpc.enable_retries", 1))
     assert await served.with_channel(use, options=options) == b"2"
--- a/tests/rpc/test_hostile.py
+++ b/tests/rpc/test_hostile.py
@@ -109,9 +109,8 @@
 
 
 def hpack_bomb() -> bytes:
-    fill = (
-        b"\x40\x01a" + b"\x7f\x81\x1e" + b"b" * 4000
-    )  # added to the dynamic table, then referenced 12,000 times
+    # Adds an entry of 4000 bytes to the dynamic table, which the rest of the block references repeatedly.
+    fill = b"\x40\x01a" + b"\x7f\x81\x1e" + b"b" * 4000
     block = fill + b"\xbe" * 12_000
     return PREFACE + SETTINGS + raw_frame(1, 4, 1, block)
 
@@ -312,9 +311,8 @@
 async def test_goaway_separates_unprocessed_streams_from_interrupted_ones() -> None:
     async def peer(stream: trio.SocketStream, connection: h2.connection.H2Connection) -> None:
         await receive_requests(stream, connection, 20)
-        await stream.send_all(
-            raw_frame(7, 0, 0, struct.pack(">II", 19, 0))
-        )  # the first ten may have been processed
+        # Stream 19 is the last one processed: ten of the twenty.
+        await stream.send_all(raw_frame(7, 0, 0, struct.pack(">II", 19, 0)))
         await trio.sleep(0.05)
 
     outcomes = await outcomes_of_calls(peer, 20)
@@ -384,7 +382,7 @@
 def test_noise_ends_the_connection_without_an_exception(
     parts: list[bytes], preface: bool, calls: int
 ) -> None:
-    """A server's connection outcomes without an exception, and without buffered bytes or open streams."""
+    """A server's connection ends without an exception, and without buffered bytes or open streams."""
 
     async def run() -> None:
         ours, theirs = trio.testing.memory_stream_pair()
--- a/tests/rpc/test_http2.py
+++ b/tests/rpc/test_http2.py
@@ -125,11 +125,11 @@
         return encode_frame(FrameType.HEADERS, h2frames.END_HEADERS | end, number, block)
 
     def window(self) -> bytes:
-        next_frame = self.rng.choice((1, 1000, 1 << 20))
+        increment = self.rng.choice((1, 1000, 1 << 20))
         if self.rng.random() < self.error_rate:
-            next_frame = self.rng.choice((0, (1 << 31) - 1))
+            increment = self.rng.choice((0, (1 << 31) - 1))
         return encode_frame(
-            FrameType.WINDOW_UPDATE, 0, self.rng.choice((0, self.stream())), struct.pack(">I", next_frame)
+            FrameType.WINDOW_UPDATE, 0, self.rng.choice((0, self.stream())), struct.pack(">I", increment)
         )
 
     def reset(self) -> bytes:
@@ -256,13 +256,13 @@
 
 # Known differences, in which we follow RFC 9113. Connection errors that h2 does not raise, by message:
 STRICTER = {
-    "RST_STREAM on a stream that was never opened": "6.4 has it a connection error",
+    "RST_STREAM on a stream that was never opened": "6.4: a connection error",
     "HEADERS on a stream that is closed": "5.1; h2 answers with RST_STREAM where the peer had reset it",
-    "INITIAL_WINDOW_SIZE out of range": "6.5.2; h2 looks at the last of several values in one frame only",
+    "INITIAL_WINDOW_SIZE out of range": "6.5.2; h2 checks only the last of several values in one frame",
     "MAX_FRAME_SIZE out of range": "the same",
 }
 # Stream errors (RST_STREAM) that h2 treats as connection errors, by frame type:
-MORE_LENIENT = {FrameType.WINDOW_UPDATE: "6.9: a window that grows by nothing breaks its stream alone"}
+MORE_LENIENT = {FrameType.WINDOW_UPDATE: "6.9: an increment of 0 is a stream error"}
 
 
 def is_known_difference(
--- a/tests/rpc/test_stall_monitor.py
+++ b/tests/rpc/test_stall_monitor.py
@@ -139,8 +139,8 @@
         for _ in range(3):
             await stall_monitor.wait_for_new_work_budget()
             passes.append(stall_monitor.poll_count)
-            start_ages = stall_monitor.begin_new_work() - 50_000_000  # as if it had taken 50 ms
-            stall_monitor.end_new_work(start_ages)
+            started = stall_monitor.begin_new_work() - 50_000_000  # as if it had taken 50 ms
+            stall_monitor.end_new_work(started)
         return passes
 
     passes = trio.run(run)
