--- a/juniperreel/statements/__init__.py
+++ b/juniperreel/statements/__init__.py
@@ -1,7 +1,7 @@
-"""Classifies MySQL statements, as far as needed to tell what a replica may run. No I/O.
+"""Classifies MySQL statements, to decide which of them a replica may run. No I/O.
 
-A write that is taken for a read is the worst error; a read that is taken for a write only costs a trip to the
-primary. So only what is known to be a plain read is called one.
+Classifying a write as a read would be the worst error, while a read classified as a write only loads the
+primary. So only statements that are known to be plain reads are classified as reads.
 """
 
 from juniperreel.statements.classification import (
--- a/juniperreel/statements/assignments.py
+++ b/juniperreel/statements/assignments.py
@@ -1,4 +1,4 @@
-"""The assignments of a `set` statement."""
+"""Parses the assignments of a `set` statement."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def parse_literal_assignments(tokens: Sequence[Token]) -> tuple[Assignment, ...]:
-    """`a = 1, @@session.b = 'x', @c = null` as assignments; empty if any of them is anything else."""
+    """Parse assignments such as `a = 1, @@session.b = 'x', @c = null`.
+
+    Returns an empty tuple if any of them does not assign a literal to a session or user variable.
+    """
     assignments = []
     for part in split_at(tokens, ","):
         assignment = _parse_literal_assignment(part)
@@ -26,7 +29,7 @@
 
 
 def sets_only_user_variables(tokens: Sequence[Token]) -> bool:
-    """Whether it is `@a = …, @b := …` with any values, and sets nothing else."""
+    """Whether the assignments set only user variables, as in `@a = …, @b := …`, to any values."""
     depth = 0
     at_target = True
     for index, token in enumerate(tokens):
@@ -49,7 +52,7 @@
 
 
 def _parse_literal_assignment(tokens: Sequence[Token]) -> Assignment | None:
-    """One `[session] name = [-] literal`."""
+    """Parse one `[session] name = [-] literal`."""
     scoped = bool(tokens) and tokens[0].type is TokenType.IDENTIFIER and tokens[0].text in SESSION_SCOPES
     unscoped = tokens[1:] if scoped else tokens
     if len(unscoped) not in (3, 4):
@@ -65,7 +68,7 @@
 
 
 def _parse_target(target: Token, scoped: bool) -> str | None:
-    """The name of a session or user variable, in lower case; None for any other target."""
+    """Return the name of a session or user variable in lower case; None for any other target."""
     if target.type is TokenType.IDENTIFIER:
         return target.text.lower()
     if target.type is not TokenType.VARIABLE or scoped:
@@ -78,7 +81,7 @@
 
 
 def _parse_literal(tokens: Sequence[Token]) -> str | None:
-    """A literal that can be written again, in any mode of quotes and escapes."""
+    """Return a literal that has the same meaning in every SQL mode of quotes and escapes; else None."""
     *sign, value = tokens
     if sign:
         is_negative_number = sign[0].is_symbol("-") and value.type is TokenType.NUMBER
--- a/juniperreel/statements/classification.py
+++ b/juniperreel/statements/classification.py
@@ -1,4 +1,4 @@
-"""What is known of a statement: its kind, what it needs of its connection, what it does to its session."""
+"""The classification of a statement: its kind, its connection dependencies, and its effect on the session."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StatementKind(Enum):
-    """What a statement does, as far as it matters for where it may run."""
+    """What a statement does, as far as it is relevant to where the statement may run."""
 
     READ = "read"
     LOCKING_READ = "locking read"
@@ -20,13 +20,13 @@
 
 
 class Dependency(StrEnum):
-    """State of a connection that a statement's effect or result depends on, or that it changes."""
+    """Connection state that a statement depends on or changes."""
 
     LAST_INSERT_ID = "last insert id"
     FOUND_ROWS = "found rows"
     ROW_COUNT = "row count"
     LAST_STATEMENT = "last statement"
-    UNREAD = "its last statement"  # of a statement that is too long to be read
+    UNREAD = "its last statement"  # too long to be parsed, but may refer to connection state
     CONNECTION = "connection"
     SCHEMA = "schema"
     USER = "user"
@@ -56,7 +56,7 @@
 
 
 class Assignment(NamedTuple):
-    """A variable that is set to a literal; names of user variables include their `@`."""
+    """A variable that is set to a literal. Names of user variables include the `@`."""
 
     name: str
     literal: str
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionCommand:
-    """A statement that is about the session and not about data.
+    """A statement that affects the session and no data.
 
     Attributes:
-        enabled: Of AUTOCOMMIT, whether it is switched on.
-        read_only: Of BEGIN and NEXT, whether the transaction may not write.
-        snapshot: Of BEGIN, whether it takes a consistent snapshot at once.
-        name: Of a savepoint or a schema.
-        assignments: Of SET.
+        enabled: For AUTOCOMMIT, whether it is enabled.
+        read_only: For BEGIN and NEXT, whether the transaction is read-only.
+        snapshot: For BEGIN, whether it takes a consistent snapshot immediately.
+        name: The name of a savepoint or schema.
+        assignments: The assignments of a SET.
     """
 
     verb: SessionVerb
@@ -84,15 +84,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Classification:
-    """What is known of a statement.
+    """The classification of a statement.
 
     Attributes:
         reason: Why it is not a plain read.
-        dependencies: What of its connection it needs, or leaves changed there.
-        tables: Its tables as far as they are known, in lower case, qualified as written.
-        session_command: Set if it is about its session and nothing else.
-        implicit_commit: Whether it commits the open transaction before it runs.
-        opaque: Whether it may do more than its text shows.
+        dependencies: The connection state that it depends on or changes.
+        tables: Its tables as far as they are known, in lower case, qualified as in the statement.
+        session_command: Set if the statement affects nothing but the session.
+        implicit_commit: Whether the server commits the open transaction before it runs the statement.
+        opaque: Whether it may have effects that its text does not show.
     """
 
     kind: StatementKind
@@ -105,5 +105,5 @@
 
     @property
     def replica_safe(self) -> bool:
-        """Whether a replica may run it, on any connection."""
+        """Whether a replica may run it on any connection."""
         return self.kind is StatementKind.READ and not self.dependencies
--- a/juniperreel/statements/classifier.py
+++ b/juniperreel/statements/classifier.py
@@ -1,7 +1,7 @@
 """Classifies statements: read, locking read, write, side effect, session change, transaction, unknown.
 
-Two readers must agree before a statement is called a plain read: the token rules of `plain_reads`, which
-admit only what they know, and sqlglot's grammar, see `grammar`.
+A statement is a plain read only if two independent checks agree: the allowlist of token rules in
+`plain_reads` and sqlglot's grammar, see `grammar`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from juniperreel.statements.plain_reads import WRITE_KEYWORDS, NotPlainReadError, check_plain_read
 from juniperreel.statements.session_commands import IMPLICIT_COMMIT_KEYWORDS, parse_session_command
 
-MAX_BYTES = 256 << 10  # longer statements are not read
+MAX_BYTES = 256 << 10  # longer statements are not parsed
 DEFAULT_CACHE_SIZE = 10_000
-QUOTED_LENGTH = 20  # of a statement's beginning in a reason
-# In a statement that is not read, any of these may refer to the state of the connection.
+QUOTED_LENGTH = 20  # characters of a statement's first token that a reason quotes
+# In a statement that is not parsed, any of these may refer to connection state.
 CONNECTION_TERMS = re.compile(
     rb"last_insert_id|row_count|found_rows|connection_id|get_lock|release_|_lock\s*\(|@@|temporary", re.I
 )
@@ -45,7 +45,7 @@
 OPAQUE_KEYWORDS = ("CALL", "DO")
 QUERY_KEYWORDS = ("SELECT", "WITH", "VALUES", "TABLE")
 EXPLAIN_KEYWORDS = ("EXPLAIN", "DESCRIBE", "DESC")
-UNPARSED_KEYWORDS = ("SHOW", *EXPLAIN_KEYWORDS, "TABLE")  # sqlglot keeps these as text
+UNPARSED_KEYWORDS = ("SHOW", *EXPLAIN_KEYWORDS, "TABLE")  # sqlglot does not parse these statements
 GLOBAL_SCOPES = frozenset({"GLOBAL", "PERSIST", "PERSIST_ONLY", "PASSWORD", "RESOURCE"})
 GLOBAL_VARIABLES = ("@@global", "@@persist")
 SHOW_MODIFIERS = ("FULL", "EXTENDED", "GLOBAL", "SESSION")
@@ -65,7 +65,7 @@
         "CHARSET",
     ]
 )
-# Of several statements at once the strictest kind counts; the last is the strictest.
+# Several statements at once have the strictest of their kinds. In increasing order of strictness:
 KINDS_BY_STRICTNESS = [
     StatementKind.READ,
     StatementKind.SESSION,
@@ -78,7 +78,7 @@
 
 
 def classify_statement(data: bytes, mode: LexerMode | None = None) -> Classification:
-    """Classify a statement. Never raises: what cannot be read is UNKNOWN, and goes to a primary."""
+    """Classify a statement. Never raises: text that cannot be parsed is UNKNOWN, and goes to a primary."""
     if len(data) > MAX_BYTES:
         found = CONNECTION_TERMS.search(data)
         dependencies = frozenset({Dependency.UNREAD}) if found else frozenset()
@@ -101,11 +101,11 @@
 
 
 class StatementClassifier:
-    """Classifies with an LRU cache: applications send the same texts again and again.
+    """Classifies statements with an LRU cache, because applications repeat the same texts.
 
     Attributes:
-        hits: Statements that were found in the cache.
-        misses: Statements that were not.
+        hits: How many statements were found in the cache.
+        misses: How many were not.
     """
 
     def __init__(self, cache_size: int = DEFAULT_CACHE_SIZE) -> None:
@@ -114,11 +114,11 @@
         self.misses = 0
 
     def classify(self, data: bytes, mode: LexerMode | None = None) -> Classification:
-        """As `classify_statement`."""
+        """Classify a statement as `classify_statement` does, using the cache."""
         mode = mode or LexerMode()
         if len(data) > MAX_BYTES:
             return classify_statement(data, mode)
-        # 128 bits and the length: with a collision, a write could be taken for a read.
+        # A hash collision could classify a write as a read, so the key has 128 bits of hash and the length.
         key = (xxhash.xxh3_128_intdigest(data), len(data), mode)
         classification = self._cache.get(key)
         if classification is not None:
@@ -131,7 +131,7 @@
 
 
 def _combine(classifications: list[Classification]) -> Classification:
-    """Several statements at once are never a plain read."""
+    """Classify several statements sent at once, which are never a plain read."""
     kind = max((c.kind for c in classifications), key=KINDS_BY_STRICTNESS.index)
     if kind is StatementKind.READ:
         kind = StatementKind.UNKNOWN
@@ -139,7 +139,7 @@
 
 
 def _classify_tokens(tokens: Sequence[Token]) -> Classification:
-    """Classify one statement by its first keyword, behind parentheses, and by its tokens."""
+    """Classify one statement by its first keyword after any opening parentheses, and by its tokens."""
     start = 0
     while start < len(tokens) and tokens[start].is_symbol("("):
         start += 1
@@ -160,7 +160,7 @@
 def _classify_by_keyword(
     tokens: Sequence[Token], body: Sequence[Token], keywords: list[str]
 ) -> Classification | None:
-    """None if the first keyword is not known. Raises NotPlainReadError."""
+    """Classify by the first keyword; returns None if it is not known. Raises NotPlainReadError."""
     first = keywords[0] if keywords else ""
     if first in KIND_BY_FIRST_KEYWORD:
         return Classification(
@@ -207,10 +207,13 @@
 
 
 def _classify_explain(body: Sequence[Token], keywords: list[str]) -> Classification:
-    """`explain analyze` runs what it explains; `explain … into @a` assigns a variable, wherever it stands.
+    """Classify an `explain` or `describe`.
+
+    `explain analyze` runs the statement that it explains. `explain … into @a` assigns a variable, whatever
+    the position of the `into`.
 
     Raises:
-        NotPlainReadError: It explains a query that is no plain read.
+        NotPlainReadError: It explains a query that is not a plain read.
     """
     if "INTO" in keywords:
         return Classification(StatementKind.SESSION, "explains into a variable")
@@ -226,7 +229,7 @@
 
 
 def _confirm_read(tokens: Sequence[Token], classification: Classification) -> Classification:
-    """The classification of a plain read with its tables, if the grammar confirms it; else UNKNOWN."""
+    """Return the classification of a plain read with its tables if the grammar confirms it; else UNKNOWN."""
     first = next((token.text for token in tokens if token.text != "("), "")
     if first in UNPARSED_KEYWORDS:
         return classification
--- a/juniperreel/statements/dependencies.py
+++ b/juniperreel/statements/dependencies.py
@@ -1,7 +1,7 @@
-"""What a statement needs of its connection, or leaves changed on it.
+"""Finds the connection state that a statement depends on or changes.
 
-Connections are shared by clients, one transaction after another. A statement that refers to the last insert,
-to variables, locks or temporary tables must be recognized before it is sent.
+Clients share pooled connections, one transaction at a time. So a statement that refers to the last insert id,
+or to variables, locks or temporary tables, must be recognized before it is sent.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def variable_dependency(text: str) -> Dependency:
-    """What a reference to a variable depends on."""
+    """Return the dependency of a reference to a variable."""
     if not is_system_variable(text):
         return Dependency.USER_VARIABLES
     name = text.removeprefix(SYSTEM_VARIABLE_PREFIX).rpartition(".")[2]
@@ -47,7 +47,7 @@
 
 
 def find_dependencies(tokens: Sequence[Token]) -> frozenset[Dependency]:
-    """All dependencies of a statement of any kind."""
+    """Return all dependencies of a statement of any kind."""
     found = set()
     for index, token in enumerate(tokens):
         dependency = _token_dependency(token, is_called(tokens, index))
@@ -57,7 +57,7 @@
 
 
 def is_called(tokens: Sequence[Token], index: int) -> bool:
-    """Whether a token is followed by a parenthesis."""
+    """Whether a token is followed by an opening parenthesis."""
     return index + 1 < len(tokens) and tokens[index + 1].is_symbol("(")
 
 
--- a/juniperreel/statements/functions.py
+++ b/juniperreel/statements/functions.py
@@ -1,6 +1,6 @@
-"""MySQL's functions: which only compute, and which depend on the connection.
+"""MySQL functions: those without side effects, and those that depend on the connection.
 
-A function that is in neither list may be a stored function, and a stored function may write.
+A function in neither list may be a stored function, which may write.
 """
 
 from __future__ import annotations
@@ -227,7 +227,7 @@
     ]
 )
 
-# Functions whose result depends on the connection, and on what of it.
+# Functions whose result depends on connection state, and on which.
 CONNECTION_FUNCTIONS = {
     "LAST_INSERT_ID": Dependency.LAST_INSERT_ID,
     "FOUND_ROWS": Dependency.FOUND_ROWS,
@@ -242,7 +242,7 @@
 }
 LOCK_FUNCTIONS = frozenset(["GET_LOCK", "RELEASE_LOCK", "RELEASE_ALL_LOCKS", "IS_FREE_LOCK", "IS_USED_LOCK"])
 
-# Keywords that may precede a parenthesis and are no functions.
+# Keywords that may precede a parenthesis without being function calls.
 KEYWORDS_BEFORE_PARENTHESIS = frozenset(
     [
         "ALL",
--- a/juniperreel/statements/grammar.py
+++ b/juniperreel/statements/grammar.py
@@ -1,6 +1,6 @@
-"""Checks with sqlglot's MySQL grammar that a statement is a single query, and names its tables.
+"""Checks with sqlglot's MySQL grammar that a statement is a single query, and extracts its tables.
 
-sqlglot alone does not decide: it drops comments that servers execute, and reads `select get_lock(...)`,
+sqlglot alone is not sufficient: it drops comments that servers execute, and parses `select get_lock(...)`,
 `select @a := 1` and `... for update` as plain selects.
 """
 
@@ -27,20 +27,20 @@
 
 
 class GrammarError(Exception):
-    """sqlglot does not confirm that a statement is a plain query. The message says why."""
+    """sqlglot did not confirm that a statement is a plain query. The message says why."""
 
 
 def query_tables(tokens: Sequence[Token]) -> frozenset[str]:
-    """The tables of a query, in lower case, without its common table expressions.
+    """Return the tables of a query in lower case, without its common table expressions.
 
     Raises:
-        GrammarError: It is not a single query, or something in it changes anything.
+        GrammarError: It is not a single query, or part of it writes, locks or assigns.
     """
     try:
         statements = [s for s in sqlglot.parse(render(tokens), read="mysql") if s is not None]
     except Exception as error:
-        # Danger: on noise, sqlglot raises errors of any kind, such as AttributeError; uncaught, they would
-        # end the client's connection.
+        # On malformed input, sqlglot raises exceptions of any type, such as AttributeError; uncaught, they
+        # would end the client's connection.
         raise GrammarError(f"not understood: {type(error).__name__}") from error
     if len(statements) != 1 or not isinstance(statements[0], exp.Query | exp.Values):
         raise GrammarError("two readers do not agree")
@@ -53,7 +53,7 @@
 
 
 def render(tokens: Sequence[Token]) -> str:
-    """The tokens as text for the default modes, without comments and without the contents of strings."""
+    """Return the tokens as text for the default SQL mode, without comments and the contents of strings."""
     pieces = []
     previous: Token | None = None
     for token in tokens:
@@ -65,7 +65,7 @@
 
 
 def _is_joined(previous: Token, token: Token) -> bool:
-    """Whether there must be no space between two tokens."""
+    """Whether two tokens must not be separated by a space."""
     if previous.text + token.text in JOINED_SYMBOLS:
         return True
     return "." in (token.text, previous.text) and previous.type is not TokenType.NUMBER
--- a/juniperreel/statements/lexer.py
+++ b/juniperreel/statements/lexer.py
@@ -1,8 +1,8 @@
 """Splits a statement into tokens, as MySQL's lexer does (MySQL reference manual, "Language Structure").
 
-Keywords can hide in comments, quotes and escapes, whose meaning depends on the session: ANSI_QUOTES,
-NO_BACKSLASH_ESCAPES, and character sets in which a backslash may be the second half of a character. Text that
-is not certain to be read as the server reads it raises `AmbiguousTextError`; the statement then goes to a
+Comments, quotes and escapes can hide keywords, and their meaning depends on the session: on ANSI_QUOTES, on
+NO_BACKSLASH_ESCAPES, and on the character set, as in some a backslash may be the second byte of a character.
+Text that the server might tokenize differently raises `AmbiguousTextError`; the statement is then sent to a
 primary.
 """
 
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# In these no ASCII byte is ever a part of another character. In gbk, big5, sjis and the like 0x5C may be.
+# In these, no ASCII byte is ever part of another character. In gbk, big5, sjis and others, 0x5C may be.
 ASCII_SAFE_CHARSETS = frozenset(
     {
         "utf8mb4",
@@ -32,7 +32,7 @@
         "koi8r",
     }
 )
-SPACE = re.compile(r"[ \t\n\v\f\r]+")  # ASCII's only: others may be letters to the server
+SPACE = re.compile(r"[ \t\n\v\f\r]+")  # ASCII only, as the server may treat other white space as letters
 IDENTIFIER = re.compile(r"[A-Za-z_$\x80-\xff][A-Za-z0-9_$\x80-\xff]*")
 NUMBER = re.compile(r"(?:0[xX][0-9a-fA-F]+|0[bB][01]+|[0-9]+(?:\.[0-9]*)?(?:[eE][+-]?[0-9]+)?|\.[0-9]+)")
 VARIABLE = re.compile(r"@@?[A-Za-z0-9_$.\x80-\xff]*")
@@ -44,11 +44,11 @@
 
 
 class AmbiguousTextError(Exception):
-    """Text that the server may read otherwise than this lexer. The message says why."""
+    """The server may tokenize the text differently. The message says why."""
 
 
 class TokenType(Enum):
-    """What a token is. Keywords and unquoted identifiers cannot be told apart without a grammar."""
+    """The type of a token. Distinguishing keywords from unquoted identifiers would require a grammar."""
 
     IDENTIFIER = "identifier"
     QUOTED_IDENTIFIER = "quoted identifier"
@@ -60,19 +60,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """One token. `text` is upper case for identifiers, and without the quotes of what is quoted."""
+    """One token. `text` is in upper case for unquoted identifiers, and without quotes for quoted tokens."""
 
     type: TokenType
     text: str
 
     def is_symbol(self, text: str) -> bool:
-        """Whether it is this symbol, and not a string with the same text."""
+        """Whether it is this symbol, as opposed to a string with the same text."""
         return self.type is TokenType.SYMBOL and self.text == text
 
 
 @dataclass(frozen=True, slots=True)
 class LexerMode:
-    """The part of a session's state that decides how its statements are split into tokens."""
+    """The session state that determines how statements are split into tokens."""
 
     ansi_quotes: bool = False
     no_backslash_escapes: bool = False
@@ -80,20 +80,20 @@
 
 
 def tokenize(data: bytes, mode: LexerMode) -> list[Token]:
-    """All tokens of a text, without comments.
+    """Return all tokens of a statement, without comments.
 
     Raises:
-        AmbiguousTextError: The text is not certain to mean to the server what it means here.
+        AmbiguousTextError: The server may tokenize the text differently.
     """
     if mode.charset not in ASCII_SAFE_CHARSETS and any(byte >= FIRST_NON_ASCII for byte in data):
-        # Danger: in other character sets the backslash or quote may be half of a character, so that a string
-        # ends elsewhere for the server, and code would be taken for the inside of a string.
+        # In other character sets, a backslash or quote may be the second byte of a character. A string would
+        # then end elsewhere for the server, and code would be mistaken for the contents of a string.
         raise AmbiguousTextError(f"characters of {mode.charset} beyond ASCII")
     return _Lexer(data.decode("latin-1"), mode).tokenize()
 
 
 def split_at(tokens: Iterable[Token], symbol: str) -> list[list[Token]]:
-    """The parts between occurrences of a symbol, at least one; a part may be empty."""
+    """Split tokens at each occurrence of a symbol. Returns at least one part; parts may be empty."""
     parts: list[list[Token]] = [[]]
     for token in tokens:
         if token.is_symbol(symbol):
@@ -104,7 +104,7 @@
 
 
 class _Lexer:
-    """Reads one text from start to end; `_offset` is what is read next."""
+    """Tokenizes one text; `_offset` is the position of the next character."""
 
     def __init__(self, text: str, mode: LexerMode) -> None:
         self._text = text
@@ -112,7 +112,7 @@
         self._offset = 0
 
     def tokenize(self) -> list[Token]:
-        """All tokens. Raises AmbiguousTextError."""
+        """Return all tokens. Raises AmbiguousTextError."""
         tokens = []
         while self._offset < len(self._text):
             if not self._skip_ignored():
@@ -120,7 +120,7 @@
         return tokens
 
     def _skip_ignored(self) -> bool:
-        """Skip white space or a comment; False if there is neither."""
+        """Skip white space or a comment; returns False if there is neither."""
         space = SPACE.match(self._text, self._offset)
         if space is not None:
             self._offset = space.end()
@@ -135,14 +135,14 @@
         return False
 
     def _at_dash_comment(self) -> bool:
-        """Whether `--` starts a comment: only before white space, a control character or the end."""
+        """Whether a `--` comment starts here: white space, a control character or the end must follow."""
         if not self._text.startswith("--", self._offset):
             return False
         following = self._text[self._offset + 2 : self._offset + 3]
         return not following or ord(following) <= SPACE_CODE
 
     def _skip_block_comment(self) -> None:
-        """Skip a comment that has no effect; any other raises AmbiguousTextError."""
+        """Skip a comment that has no effect on the server. Raises AmbiguousTextError for any other."""
         if self._text.startswith(("/*!", "/*M!"), self._offset):
             raise AmbiguousTextError("a comment that some servers execute")
         close = self._text.find("*/", self._offset + 2)
@@ -175,7 +175,7 @@
         return quote == "`" or (quote == '"' and self._mode.ansi_quotes)
 
     def _read_quoted(self) -> str:
-        """What is between quotes. A doubled quote stands for itself; escapes are left as they are."""
+        """Return the quoted text, with doubled quotes replaced by single ones; escapes are not decoded."""
         quote = self._text[self._offset]
         has_escapes = not self._quotes_identifier(quote) and not self._mode.no_backslash_escapes
         start = self._offset + 1
@@ -206,7 +206,7 @@
         if suffix is None:
             self._offset = number.end()
             return Token(TokenType.NUMBER, number[0])
-        # 1e, 2nd: to MySQL these are identifiers that begin with a digit.
+        # MySQL treats `1e` or `2nd` as identifiers that begin with a digit.
         self._offset = suffix.end()
         return Token(TokenType.QUOTED_IDENTIFIER, number[0] + suffix[0])
 
--- a/juniperreel/statements/plain_reads.py
+++ b/juniperreel/statements/plain_reads.py
@@ -1,6 +1,6 @@
-"""Decides whether a query is a plain read: one that writes, locks and calls nothing.
+"""Decides whether a query is a plain read: one without writes, locks or calls that may have side effects.
 
-The rules admit only what they know; whatever is not certain raises `NotPlainReadError`.
+The rules are an allowlist; anything that is not known to be safe raises `NotPlainReadError`.
 """
 
 from __future__ import annotations
@@ -46,16 +46,16 @@
     "SQL_CALC_FOUND_ROWS": Dependency.FOUND_ROWS,
     "CURRENT_USER": Dependency.USER,
 }
-QUOTED_LENGTH = 40  # of a function's name in a reason
+QUOTED_LENGTH = 40  # characters of a function's name that a reason quotes
 
 
 class NotPlainReadError(Exception):
     """A statement is not a plain read.
 
     Attributes:
-        kind: What it is.
-        reason: Why.
-        opaque: Whether it may do more than its text shows.
+        kind: The kind of the statement.
+        reason: Why it is not a plain read.
+        opaque: Whether it may have effects that its text does not show.
     """
 
     def __init__(self, kind: StatementKind, reason: str, opaque: bool = False) -> None:
@@ -66,10 +66,10 @@
 
 
 def check_plain_read(tokens: Sequence[Token]) -> frozenset[Dependency]:
-    """The dependencies of a plain read.
+    """Return the dependencies of a plain read.
 
     Raises:
-        NotPlainReadError: It is not certain to be one.
+        NotPlainReadError: The statement is not known to be a plain read.
     """
     dependencies = set()
     for index, token in enumerate(tokens):
@@ -97,7 +97,7 @@
 
 
 def _check_call(tokens: Sequence[Token], index: int, qualified: bool) -> Dependency | None:
-    """An unquoted name before a parenthesis that is no keyword."""
+    """Check an unquoted name, other than a keyword, before a parenthesis."""
     name = tokens[index].text
     quoted = name[:QUOTED_LENGTH].lower()
     if qualified:
@@ -115,7 +115,7 @@
 
 
 def _check_keyword(tokens: Sequence[Token], index: int, qualified: bool) -> Dependency | None:
-    """An unquoted word that is not called: a keyword, or the name of a table or column."""
+    """Check an unquoted word that is not called: a keyword, or the name of a table or column."""
     name = tokens[index].text
     if name in ("NEXTVAL", "LASTVAL"):  # also as `s.nextval`
         raise NotPlainReadError(StatementKind.SIDE_EFFECT, "takes the next value of a sequence")
@@ -132,7 +132,7 @@
 
 
 def _check_locks(tokens: Sequence[Token], index: int) -> None:
-    """Raise for `lock in share mode`, `for update`, `for share`, and for `next value for`."""
+    """Raise NotPlainReadError for `lock in share mode`, `for update`, `for share` and `next value for`."""
     name = tokens[index].text
     following = tokens[index + 1].text if index + 1 < len(tokens) else ""
     preceding = tokens[index - 1].text if index > 0 else ""
@@ -143,9 +143,9 @@
 
 
 def _starts_column_list(tokens: Sequence[Token], index: int) -> bool:
-    """Whether a name before a parenthesis names a common table expression, derived table or window.
+    """Whether a name before a parenthesis is that of a common table expression, derived table or window.
 
-    As in `with t (a) as`, `(...) as t (a)` and `window w as`.
+    Examples are `with t (a) as`, `(...) as t (a)` and `window w as`.
     """
     if index == 0:
         return False
@@ -165,7 +165,7 @@
 
 
 def _closing_parenthesis(tokens: Sequence[Token], opening: int) -> int | None:
-    """The index of the parenthesis that closes the one at `opening`."""
+    """Return the index of the parenthesis that closes the one at `opening`, or None."""
     depth = 0
     for index in range(opening, len(tokens)):
         if tokens[index].is_symbol("("):
--- a/juniperreel/statements/session_commands.py
+++ b/juniperreel/statements/session_commands.py
@@ -1,6 +1,6 @@
-"""Recognizes statements about the session: transactions, savepoints, variables, character sets, schemas.
+"""Recognizes session commands: transactions, savepoints, variables, character sets, schemas.
 
-Only exact, known forms are recognized; anything else is None and is not treated as a session command.
+Only exact, known forms are recognized; any other statement is not treated as a session command.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         "IMPORT",
     ]
 )
-# Character sets that the lexer reads safely; in others it could miss the end of a quotation.
+# Character sets that the lexer supports; with others, it could miss the end of a quoted string.
 SAFE_CHARSETS = frozenset({"UTF8MB4", "UTF8MB3", "UTF8", "ASCII"})
 COMMITS = frozenset({"COMMIT", "COMMIT WORK", "COMMIT AND NO CHAIN NO RELEASE"})
 ROLLBACKS = frozenset({"ROLLBACK", "ROLLBACK WORK", "ROLLBACK AND NO CHAIN NO RELEASE"})
@@ -45,7 +45,7 @@
 NEXT_TRANSACTION = {
     "SET TRANSACTION READ ONLY": SessionCommand(SessionVerb.NEXT, read_only=True),
     "SET TRANSACTION READ WRITE": SessionCommand(SessionVerb.NEXT),
-    # The isolation level that transactions have anyway:
+    # The default isolation level:
     "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT),
     "SET SESSION TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT),
 }
@@ -54,7 +54,7 @@
 
 
 def parse_session_command(tokens: Sequence[Token]) -> SessionCommand | None:
-    """The session command that a statement is, if it is one in a known form."""
+    """Parse a session command; returns None unless the statement is one in a known form."""
     first = tokens[0].text if tokens and tokens[0].type is TokenType.IDENTIFIER else ""
     text = _normalized(tokens)
     if first == "SET":
@@ -69,13 +69,13 @@
 
 
 def _normalized(tokens: Sequence[Token]) -> str:
-    """The tokens with single spaces between them, and `?` for names and values."""
+    """Join the tokens with single spaces, replacing quoted names and values with `?`."""
     visible = (TokenType.IDENTIFIER, TokenType.SYMBOL)
     return " ".join(token.text if token.type in visible else "?" for token in tokens)
 
 
 def _parse_named(tokens: Sequence[Token]) -> SessionCommand | None:
-    """A command that ends with a name, as `savepoint a` or `use b`."""
+    """Parse a command that ends with a name, such as `savepoint a` or `use b`."""
     *head, name = tokens
     if name.type not in (TokenType.IDENTIFIER, TokenType.QUOTED_IDENTIFIER):
         return None
--- a/tests/statements/test_classifier.py
+++ b/tests/statements/test_classifier.py
@@ -1,4 +1,7 @@
-"""The classifier against a corpus of known kinds: no write, lock or side effect may pass for a plain read."""
+"""Classification of a corpus of statements of known kinds.
+
+No statement that writes, locks or has side effects may be classified as a plain read.
+"""
 
 from __future__ import annotations
 
@@ -137,8 +140,8 @@
 SEPARATORS = [" ", "\n", "\t ", "/* update */ ", " /**/ ", "-- delete\n", "# for update\n", " /* it's */ "]
 
 
-def disguise(text: str, random_source: random.Random) -> str:
-    """The same statement in other letters, with other gaps and comments."""
+def vary_formatting(text: str, random_source: random.Random) -> str:
+    """Return an equivalent statement with random letter case, white space and comments."""
     out = []
     for piece in TEXT_PIECE.findall(text):
         if piece.isspace():
@@ -157,12 +160,12 @@
 def corpus(texts: list[str], count: int) -> list[str]:
     random_source = random.Random(7)
     return list(texts) + [
-        disguise(text, random_source) for text in itertools.islice(itertools.cycle(texts), count)
+        vary_formatting(text, random_source) for text in itertools.islice(itertools.cycle(texts), count)
     ]
 
 
 def test_no_disguised_write_is_replica_safe_and_few_reads_are_missed() -> None:
-    """None that writes, locks or has effects may go to a replica; few plain reads may miss it."""
+    """No write, locking read or side effect is replica-safe; fewer than 2 % of plain reads are missed."""
     reads = corpus(READS, 1500)
     missed = [text for text in reads if not classify_statement(text.encode()).replica_safe]
     assert len(missed) < 0.02 * len(reads), missed[:5]
@@ -195,7 +198,7 @@
 def test_lexer_mode_decides_where_strings_end() -> None:
     hidden = b"select '\\' , sleep(1) -- '"
     assert classify_statement(hidden, LexerMode(no_backslash_escapes=True)).kind is StatementKind.SIDE_EFFECT
-    assert classify_statement(hidden).replica_safe  # one string, with all of it inside
+    assert classify_statement(hidden).replica_safe  # the whole rest is one string
     name = b'select "sleep"(1)'
     assert classify_statement(name, LexerMode(ansi_quotes=True)).kind is StatementKind.SIDE_EFFECT
 
@@ -230,9 +233,9 @@
 @given(
     st.text(alphabet="'\"`\\-#/*! ;ax", max_size=25), st.sampled_from(["sleep(1)", "for update", "into @a"])
 )
-def test_quotes_and_comments_do_not_hide_effects(mess: str, effect: str) -> None:
-    """Whatever precedes it: if the effect is still code to the lexer, it is found."""
-    text = f"select 1 {mess} {effect}".encode()
+def test_quotes_and_comments_do_not_hide_effects(prefix: str, effect: str) -> None:
+    """Whatever precedes it, an effect that the lexer does not place in a string or comment is detected."""
+    text = f"select 1 {prefix} {effect}".encode()
     try:
         names = [
             t.text
@@ -255,8 +258,7 @@
     ],
 )
 def test_text_on_which_the_grammar_raises_is_unknown(found: bytes) -> None:
-    """Findings of fuzz/mysql_target.py: sqlglot raised AttributeError, and the client's connection ended with
-    it."""
+    """Found by fuzz/mysql_target.py: sqlglot raised AttributeError, which ended the client's connection."""
     classification = classify_statement(found)
     assert classification.kind is StatementKind.UNKNOWN
     assert classification.opaque
--- a/tests/statements/test_session_commands.py
+++ b/tests/statements/test_session_commands.py
@@ -1,4 +1,4 @@
-"""What a statement depends on of its connection, and the session commands."""
+"""Dependencies of statements on their connection, and session commands."""
 
 from __future__ import annotations
 
