--- a/juniperreel/frontends/mysql/transaction_scope.py
+++ b/juniperreel/frontends/mysql/transaction_scope.py
@@ -175,7 +175,7 @@
                 return ACKNOWLEDGED
             case SessionVerb.BEGIN:
                 return self._plan_begin(control)
-            case SessionVerb.NEXT:
+            case SessionVerb.NEXT_TRANSACTION:
                 self._next_is_read_only = control.read_only
                 return ACKNOWLEDGED
             case SessionVerb.SAVEPOINT | SessionVerb.ROLLBACK_TO | SessionVerb.RELEASE:
--- a/juniperreel/statements/classification.py
+++ b/juniperreel/statements/classification.py
@@ -26,7 +26,7 @@
     FOUND_ROWS = "found rows"
     ROW_COUNT = "row count"
     LAST_STATEMENT = "last statement"
-    UNREAD = "its last statement"  # too long to be parsed, but may refer to connection state
+    UNPARSED = "its last statement"  # too long to be parsed, but may refer to connection state
     CONNECTION = "connection"
     SCHEMA = "schema"
     USER = "user"
@@ -48,10 +48,10 @@
     ROLLBACK_TO = "rollback to"
     RELEASE = "release savepoint"
     AUTOCOMMIT = "autocommit"
-    VARIABLES = "user variables"
+    USER_VARIABLES = "user variables"
     SET = "variables to literals"
     NAMES = "character set"
-    NEXT = "the next transaction"
+    NEXT_TRANSACTION = "the next transaction"
     USE = "schema"
 
 
@@ -68,7 +68,7 @@
 
     Attributes:
         enabled: For AUTOCOMMIT, whether it is enabled.
-        read_only: For BEGIN and NEXT, whether the transaction is read-only.
+        read_only: For BEGIN and NEXT_TRANSACTION, whether the transaction is read-only.
         snapshot: For BEGIN, whether it takes a consistent snapshot immediately.
         name: The name of a savepoint or schema.
         assignments: The assignments of a SET.
--- a/juniperreel/statements/classifier.py
+++ b/juniperreel/statements/classifier.py
@@ -81,7 +81,7 @@
     """Classify a statement. Never raises: text that cannot be parsed is UNKNOWN, and goes to a primary."""
     if len(data) > MAX_BYTES:
         found = CONNECTION_TERMS.search(data)
-        dependencies = frozenset({Dependency.UNREAD}) if found else frozenset()
+        dependencies = frozenset({Dependency.UNPARSED}) if found else frozenset()
         reason = f"longer than {MAX_BYTES} bytes"
         return Classification(StatementKind.UNKNOWN, reason, dependencies, opaque=True)
     try:
--- a/juniperreel/statements/session_commands.py
+++ b/juniperreel/statements/session_commands.py
@@ -43,11 +43,11 @@
 READ_WRITE = "READ WRITE"
 SNAPSHOT = "WITH CONSISTENT SNAPSHOT"
 NEXT_TRANSACTION = {
-    "SET TRANSACTION READ ONLY": SessionCommand(SessionVerb.NEXT, read_only=True),
-    "SET TRANSACTION READ WRITE": SessionCommand(SessionVerb.NEXT),
+    "SET TRANSACTION READ ONLY": SessionCommand(SessionVerb.NEXT_TRANSACTION, read_only=True),
+    "SET TRANSACTION READ WRITE": SessionCommand(SessionVerb.NEXT_TRANSACTION),
     # The default isolation level:
-    "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT),
-    "SET SESSION TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT),
+    "SET TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT_TRANSACTION),
+    "SET SESSION TRANSACTION ISOLATION LEVEL REPEATABLE READ": SessionCommand(SessionVerb.NEXT_TRANSACTION),
 }
 AUTOCOMMIT_NAMES = ("AUTOCOMMIT", "@@AUTOCOMMIT", "@@SESSION.AUTOCOMMIT")
 AUTOCOMMIT_VALUES = {"1": True, "ON": True, "TRUE": True, "0": False, "OFF": False, "FALSE": False}
@@ -111,7 +111,7 @@
     if assignments:
         return SessionCommand(SessionVerb.SET, assignments=assignments)
     if sets_only_user_variables(tokens[1:]):
-        return SessionCommand(SessionVerb.VARIABLES)
+        return SessionCommand(SessionVerb.USER_VARIABLES)
     return None
 
 
--- a/tests/statements/test_session_commands.py
+++ b/tests/statements/test_session_commands.py
@@ -38,9 +38,9 @@
         ("set autocommit := true", SessionCommand(SessionVerb.AUTOCOMMIT, enabled=True)),
         ("set names utf8mb4", SessionCommand(SessionVerb.NAMES)),
         ("set names 'utf8mb4' collate 'utf8mb4_0900_ai_ci'", SessionCommand(SessionVerb.NAMES)),
-        ("set transaction read only", SessionCommand(SessionVerb.NEXT, read_only=True)),
-        ("set transaction isolation level repeatable read", SessionCommand(SessionVerb.NEXT)),
-        ("set @a = 1, @b := (select max(a, b) from t)", SessionCommand(SessionVerb.VARIABLES)),
+        ("set transaction read only", SessionCommand(SessionVerb.NEXT_TRANSACTION, read_only=True)),
+        ("set transaction isolation level repeatable read", SessionCommand(SessionVerb.NEXT_TRANSACTION)),
+        ("set @a = 1, @b := (select max(a, b) from t)", SessionCommand(SessionVerb.USER_VARIABLES)),
         (
             "set @a = -1.5, @B := 'x'",
             set_command(("@a", "-1.5"), ("@b", "'x'")),
