--- a/juniperreel/mysql/__init__.py
+++ b/juniperreel/mysql/__init__.py
@@ -1,14 +1,14 @@
-"""The MySQL client/server protocol, both sides, as state machines without I/O.
+"""The MySQL client/server protocol, client and server, as state machines without I/O.
 
-    server, client         one connection: bytes in, events out, bytes to send
-    client_login           the client's side of the connection phase
-    packets                packets, and the primitive values within them
+    server, client         one connection: turns received bytes into events and bytes to send
+    client_login           the connection phase on the client
+    packets                packets, and the basic data types within them
     replies                OK and ERR packets
-    columns, rows          column definitions, rows in text and in binary
-    values                 single values in text and in binary
-    parameters             parameters of executions, query attributes
+    columns, rows          column definitions; rows in the text and the binary protocol
+    values                 single values in the text and the binary protocol
+    parameters             parameters of prepared statements, query attributes
     auth                   password authentication
-    constants              numbers that the protocol's documentation names
+    constants              constants of the protocol
 
 Source: MySQL's documentation of its client/server protocol ("Packets", "Connection Phase", "Command Phase").
 """
--- a/juniperreel/mysql/auth.py
+++ b/juniperreel/mysql/auth.py
@@ -1,7 +1,7 @@
 """Password authentication by `mysql_native_password` and `caching_sha2_password`.
 
-The server stores no password, only what is needed to check a response to its nonce; the check takes the same
-time whatever is wrong.
+The server stores no password, only the hashes needed to verify a response to its nonce. The verification
+takes the same time whether the user or the password is wrong.
 """
 
 from __future__ import annotations
@@ -27,26 +27,27 @@
 
 
 def xor(first: bytes, second: bytes) -> bytes:
-    """Bitwise exclusive or of two strings of the same length."""
+    """Bitwise exclusive or of two byte strings of the same length."""
     return bytes(one ^ other for one, other in zip(first, second, strict=True))
 
 
 @dataclass(frozen=True, slots=True)
 class Credential:
-    """The doubly hashed password, in both plugins' ways."""
+    """The doubly hashed password, as each of the two plugins needs it."""
 
     native: bytes
     sha2: bytes
 
     @staticmethod
     def from_password(password: bytes) -> Credential:
-        """The credential of a password."""
+        """Return the credential of a password."""
         return Credential(sha1(sha1(password)), sha256(sha256(password)))
 
     def verify(self, plugin: str, nonce: bytes, response: bytes) -> bool:
-        """Whether a client that answers `nonce` with `response` knows the password.
+        """Whether a client's `response` to `nonce` proves that it knows the password.
 
-        Both plugins send the singly hashed password, masked with a hash of nonce and doubly hashed password.
+        With both plugins, the response is the singly hashed password, XORed with a hash of the nonce and the
+        doubly hashed password.
         """
         if plugin == NATIVE:
             return self._matches(sha1, self.native, sha1(nonce, self.native), response)
@@ -61,12 +62,12 @@
         return hmac.compare_digest(digest(xor(response, mask)), stored)
 
 
-# Takes the place of an unknown user's credential, so that both cases do the same work.
+# Verified for unknown users, so that the response time does not reveal which users exist.
 UNKNOWN_USER = Credential.from_password(b"\0nobody")
 
 
 def auth_response(plugin: str, password: bytes, nonce: bytes) -> bytes | None:
-    """The client's answer to a server's nonce; None for a plugin that is not supported."""
+    """Return the client's response to a server's nonce; None for an unsupported plugin."""
     if plugin not in (NATIVE, SHA2):
         return None
     if not password:
--- a/juniperreel/mysql/client.py
+++ b/juniperreel/mysql/client.py
@@ -1,10 +1,12 @@
-"""One connection, client side: commands in, bytes to send; bytes in, events out. No I/O, no policy.
+"""Protocol state of one connection on the client. No I/O, no policy.
+
+Turns commands into bytes to send, and received bytes into events.
 
     GREETING -> (TLS) -> AUTH -> READY -> CLOSED
 
-Commands may be sent before the answers to earlier ones are there: servers read them one after another, so
-that what belongs together costs one round trip. Each event belongs to the oldest command in flight; `Done`,
-`Failed`, `StatementPrepared` and `ResultEnded`, if no more results follow, end it.
+Commands can be pipelined: servers process them in order, so that several commands cost only one round trip.
+Each event belongs to the oldest command in flight, which ends with `Done`, `Failed`, `StatementPrepared` or
+`ResultEnded`, unless more results follow.
 """
 
 from __future__ import annotations
@@ -50,12 +52,12 @@
 from juniperreel.mysql.replies import Ok, decode_err, decode_ok
 from juniperreel.mysql.values import Value
 
-MAX_COLUMNS = 4096  # what servers allow in a table
-ITERATIONS = 1  # of an execution
+MAX_COLUMNS = 4096  # the server's limit for a table
+ITERATIONS = 1  # the protocol's iteration count of an execution, which is always 1
 
 
 class State(Enum):
-    """See the module's docstring."""
+    """The states of a connection; see the module's docstring."""
 
     GREETING = "greeting"
     TLS = "tls"
@@ -65,14 +67,14 @@
 
 
 class CommandKind(Enum):
-    """What the answer to a command looks like."""
+    """The form of the response to a command."""
 
     QUERY = "query"
     PREPARE = "prepare"
 
 
 class Phase(Enum):
-    """What the next packet of the oldest command is."""
+    """The type of the next packet of the oldest command's response."""
 
     FIRST = "first"
     COLUMNS = "columns"
@@ -93,12 +95,12 @@
         tls: bool = False,
         found_rows: bool = True,
     ) -> None:
-        """`max_packet`: bytes of an answer's packet.
+        """`max_packet` is the maximum size of a response packet in bytes.
 
-        `found_rows`: of an update, count the rows it matched; else those it changed.
+        With `found_rows`, the affected rows of an update are those it matched; otherwise those it changed.
         """
         self.state = State.GREETING
-        self.in_transaction = False  # as the last answer said
+        self.in_transaction = False  # from the status flags of the last response
         self._login = ClientLogin(LoginOptions(user, password, database, max_packet, tls, found_rows))
         self._tls = tls
         self._reader = PacketReader(max_packet)
@@ -113,28 +115,28 @@
 
     @property
     def capabilities(self) -> int:
-        """Those that both sides agreed on."""
+        """The negotiated capability flags."""
         return self._login.capabilities
 
     @property
     def connection_id(self) -> int:
-        """The connection's number at its server; 0 before the greeting."""
+        """The connection id that the server assigned; 0 before the greeting."""
         return self._login.connection_id
 
     @property
     def in_flight(self) -> int:
-        """Commands whose answers have not ended."""
+        """The number of commands whose responses are incomplete."""
         return len(self._commands)
 
     @property
     def closed(self) -> bool:
-        """Whether the connection cannot be used any more."""
+        """Whether the connection can no longer be used."""
         return self.state is State.CLOSED
 
     # Bytes.
 
     def data_to_send(self) -> bytes:
-        """Take what is to be sent."""
+        """Remove and return the bytes to send."""
         data = bytes(self._out)
         self._out = bytearray()
         return data
@@ -142,7 +144,7 @@
     def receive(self, data: bytes | bytearray) -> list[Event]:
         """Process received bytes.
 
-        Never raises: a server that breaks the protocol, or rejects the login, ends in ConnectionBroken.
+        Never raises: if the server breaks the protocol or rejects the login, ConnectionBroken is returned.
         """
         if self.closed:
             return []
@@ -187,9 +189,9 @@
         return []
 
     def inside_tls(self) -> None:
-        """All that follows goes over TLS, to a server whose certificate was checked."""
+        """Continue the login after the TLS handshake, in which the server's certificate was verified."""
         if self.state is not State.TLS:
-            raise ValueError("no TLS was asked for")
+            raise ValueError("TLS was not requested")
         self._login.on_inside_tls()
         self._send_login()
 
@@ -216,7 +218,7 @@
     # Commands.
 
     def _send_command(self, kind: CommandKind | None, payload: bytes) -> None:
-        """`kind` is None for a command that has no answer. Raises ValueError before the login."""
+        """Send a command; `kind` is None if it has no response. Raises ValueError before the login."""
         if self.state is not State.READY:
             raise ValueError("not logged in")
         self._out += encode_packets(payload, 0).data
@@ -226,7 +228,7 @@
             self._commands.append(kind)
 
     def query(self, text: bytes, attributes: Mapping[str, Value] | None = None) -> None:
-        """Run a statement; attributes are left out where the server does not support them."""
+        """Run a statement. The attributes are omitted if the server does not support them."""
         head = b""
         if self.capabilities & Capability.QUERY_ATTRIBUTES:
             head = encode_query_attributes(attributes or {})
@@ -239,7 +241,7 @@
     def execute(
         self, statement_id: int, values: Sequence[Value], attributes: Mapping[str, Value] | None = None
     ) -> None:
-        """Execute a prepared statement with as many values as it has parameters."""
+        """Execute a prepared statement with one value for each of its parameters."""
         named = bool(self.capabilities & Capability.QUERY_ATTRIBUTES)
         extra = dict(attributes or {}) if named else {}
         parameters = [*values, *extra.values()]
@@ -254,24 +256,24 @@
         self._send_command(CommandKind.QUERY, payload)
 
     def close_statement(self, statement_id: int) -> None:
-        """Forget a prepared statement."""
+        """Close a prepared statement."""
         payload = bytes((CommandCode.STMT_CLOSE,)) + statement_id.to_bytes(4, "little")
         self._send_command(None, payload)
 
     def reset_connection(self) -> None:
-        """Drop the connection's transaction, variables, temporary tables and prepared statements."""
+        """Reset the session: its transaction, variables, temporary tables and prepared statements."""
         self._send_command(CommandKind.QUERY, bytes((CommandCode.RESET_CONNECTION,)))
 
     def ping(self) -> None:
-        """Ask whether the server is there."""
+        """Check that the server responds."""
         self._send_command(CommandKind.QUERY, bytes((CommandCode.PING,)))
 
     def quit(self) -> None:
-        """Say that the connection is closed."""
+        """Tell the server that the connection will be closed."""
         self._send_command(None, bytes((CommandCode.QUIT,)))
         self.state = State.CLOSED
 
-    # Answers.
+    # Responses.
 
     def _expect_answer(self) -> None:
         self._reader.sequence = 1
@@ -286,7 +288,7 @@
 
     def _on_answer(self, payload: bytes) -> list[Event]:
         if not self._commands:
-            if is_error(payload):  # says why the server ends the connection
+            if is_error(payload):  # the reason why the server closes the connection
                 err = decode_err(payload)
                 return [self._break(f"ended with {err.code}: {err.message}", err.code)]
             raise ProtocolError("an answer to nothing")
@@ -329,7 +331,7 @@
 
     @property
     def _sends_eof(self) -> bool:
-        """Whether the server ends definitions and rows with EOF packets."""
+        """Whether the server sends EOF packets after column definitions and rows."""
         return not self.capabilities & Capability.DEPRECATE_EOF
 
     def _on_column(self, payload: bytes) -> list[Event]:
@@ -375,7 +377,7 @@
         return [] if parameters else self._end_prepared_phase()
 
     def _on_prepared_definition(self) -> list[Event]:
-        """Skip definitions of a prepared statement; each execution sends its own."""
+        """Skip a definition of a prepared statement, as the result of each execution has its own."""
         if self._definitions_due:
             self._definitions_due -= 1
             if self._definitions_due or self._sends_eof:
--- a/juniperreel/mysql/client_events.py
+++ b/juniperreel/mysql/client_events.py
@@ -1,6 +1,6 @@
-"""What a client's connection reports.
+"""Events that `ClientSession.receive` returns.
 
-Each event but those of the login and ConnectionBroken belongs to the oldest command in flight.
+All events belong to the oldest command in flight, except for StartTls, Ready and ConnectionBroken.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTls:
-    """The login goes on inside TLS: call `inside_tls` when the handshake is done."""
+    """The login continues over TLS: call `inside_tls` after the handshake."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """Logged in. `connection_id` is the connection's number at its server."""
+    """The login succeeded. `connection_id` was assigned by the server."""
 
     connection_id: int
     version: str
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The command was answered without a result set."""
+    """The command succeeded without a result set."""
 
     ok: Ok
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The command was answered with an error, which may end a result."""
+    """The command failed, possibly in the middle of a result set."""
 
     err: Err
 
 
 @dataclass(frozen=True, slots=True)
 class StatementPrepared:
-    """COM_STMT_PREPARE was answered."""
+    """A statement was prepared. `parameters` is how many it has."""
 
     id: int
     parameters: int
@@ -48,28 +48,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultStarted:
-    """A result set begins."""
+    """The column definitions of a result set were received."""
 
     columns: tuple[Column, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row as it came: in text, or in binary after an execution."""
+    """An encoded row: in the binary protocol for prepared statements, else in the text protocol."""
 
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ResultEnded:
-    """The result set ends. With `ok.more_results` another follows for the same command."""
+    """The result set ended. If `ok.more_results`, another one follows for the same command."""
 
     ok: Ok
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBroken:
-    """The connection cannot be used any more. `code`: the server's, if it sent one."""
+    """The connection can no longer be used. `code` is the server's error code, or 0."""
 
     reason: str
     code: int = 0
--- a/juniperreel/mysql/client_login.py
+++ b/juniperreel/mysql/client_login.py
@@ -1,4 +1,4 @@
-"""The client's side of the connection phase: the greeting, TLS, authentication. No I/O."""
+"""The connection phase on the client: greeting, TLS, authentication. No I/O."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 )
 REQUIRED = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
 PROTOCOL_VERSION = 10
-FIRST_NONCE_PART = 8  # bytes of the nonce that stand ahead of the rest in the greeting
-MIN_SECOND_NONCE_PART = 13  # with its NUL
+FIRST_NONCE_PART = 8  # bytes of the first of the two parts of the nonce in the greeting
+MIN_SECOND_NONCE_PART = 13  # bytes, including the terminating NUL
 MAX_ANNOUNCED_PACKET = 1 << 30
 
-# What a server says of caching_sha2_password.
+# Status bytes of caching_sha2_password.
 FAST_AUTH_SUCCESS = 3
 FULL_AUTH_REQUIRED = 4
 
 
 @dataclass(frozen=True, slots=True)
 class LoginOptions:
-    """As whom to log in, and how."""
+    """Credentials and options of a login."""
 
     user: str
     password: bytes
     database: str
     max_packet: int  # bytes
     tls: bool
-    found_rows: bool  # of an update, count the rows it matched; else those it changed
+    found_rows: bool  # the affected rows of an update are those it matched, not those it changed
 
 
 class ClientLogin:
-    """Builds the client's packets. Raises ProtocolError for what it does not accept of the server."""
+    """Builds the client's packets. Raises ProtocolError if it does not support what the server sends."""
 
     def __init__(self, options: LoginOptions) -> None:
-        """Begins ahead of the greeting."""
+        """Starts before the greeting."""
         self.capabilities = 0
         self.connection_id = 0
         self.version = ""
@@ -59,7 +59,7 @@
         self._inside_tls = False
 
     def on_greeting(self, cursor: Cursor) -> None:
-        """Read the server's greeting, and agree on capabilities."""
+        """Process the server's greeting and negotiate the capabilities."""
         if cursor.integer(1) != PROTOCOL_VERSION:
             raise ProtocolError("not a server of protocol 10")
         self.version = cursor.nul_terminated().decode("ascii", "replace")
@@ -94,7 +94,7 @@
             self.capabilities |= Capability.SSL
 
     def ssl_request(self) -> bytes:
-        """The packet that asks for TLS, which is how a login begins."""
+        """Return the packet that requests TLS, which is also the first part of the login packet."""
         return (
             self.capabilities.to_bytes(4, "little")
             + min(self._options.max_packet, MAX_ANNOUNCED_PACKET).to_bytes(4, "little")
@@ -103,11 +103,11 @@
         )
 
     def on_inside_tls(self) -> None:
-        """All that follows is encrypted, to a server whose certificate was checked."""
+        """Record that the connection is encrypted, and the server's certificate was verified."""
         self._inside_tls = True
 
     def login(self) -> bytes:
-        """The login packet, with a response to the greeting's nonce."""
+        """Return the login packet, with the response to the greeting's nonce."""
         response = auth_response(self._plugin, self._options.password, self._nonce) or b""
         plugin = self._plugin if self._plugin in (NATIVE, SHA2) else SHA2
         payload = self.ssl_request() + self._options.user.encode() + b"\0"
@@ -123,18 +123,18 @@
 
     @staticmethod
     def is_finished(payload: bytes) -> bool:
-        """Whether the server's packet says that the client is logged in."""
+        """Whether the server's packet completes the login."""
         return payload[:1] == bytes((OK,))
 
     def answer(self, payload: bytes) -> bytes | None:
-        """The answer to another packet of the authentication; None where it needs none."""
+        """Return the response to an authentication packet, or None if it needs none."""
         if payload[:1] == bytes((AUTH_SWITCH,)):
             return self._switch_plugin(Cursor(payload[1:]))
         if payload[:2] == bytes((AUTH_MORE_DATA, FAST_AUTH_SUCCESS)):
             return None
         if payload[:2] == bytes((AUTH_MORE_DATA, FULL_AUTH_REQUIRED)):
             if not self._inside_tls:
-                # Danger: without TLS the password would cross the network for anyone to read.
+                # Without TLS, the password would be sent over the network in clear text.
                 raise ProtocolError("the server wants the password itself, which needs TLS")
             return self._options.password + b"\0"
         raise ProtocolError("the login took a turn that is not known")
--- a/juniperreel/mysql/columns.py
+++ b/juniperreel/mysql/columns.py
@@ -1,4 +1,4 @@
-"""Column definitions of results ("Column Definition 41")."""
+"""Column definitions of result sets ("Column Definition 41")."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from juniperreel.mysql.constants import BINARY, UTF8MB4, ColumnFlag, ColumnType
 from juniperreel.mysql.packets import Cursor, encode_string
 
-DEFAULT_CHARSET = -1  # that of the type
+DEFAULT_CHARSET = -1  # determined by the type
 MAX_COLUMN_LENGTH = 0xFFFFFF
 UNKNOWN_DECIMALS = 0x1F
-FIXED_FIELDS_BYTES = b"\x0c"  # how many bytes follow the names
-CACHED_DEFINITIONS = 4096  # the same few columns come with every result
+FIXED_FIELDS_BYTES = b"\x0c"  # length of the fixed-size fields after the names
+CACHED_DEFINITIONS = 4096  # results repeat the same few column definitions
 
 BLOB_TYPES = frozenset(
     {
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column of a result. `type` may be one that ColumnType does not name."""
+    """A column of a result set. `type` may be a code that ColumnType does not define."""
 
     name: str
     type: int
@@ -50,18 +50,18 @@
     decimals: int = UNKNOWN_DECIMALS
     schema: str = ""
     table: str = ""
-    original_table: str = ""  # without its alias
+    original_table: str = ""  # before aliasing
     original_name: str = ""
 
     @property
     def binary(self) -> bool:
-        """Whether its values are bytes or numbers, and not text."""
+        """Whether its values are bytes or numbers, not text."""
         return self.charset == BINARY or (self.charset < 0 and self.type not in STRING_TYPES)
 
 
 @lru_cache(maxsize=CACHED_DEFINITIONS)
 def encode_column(column: Column) -> bytes:
-    """The definition's payload."""
+    """Return the payload of a column definition."""
     charset = column.charset
     flags = column.flags
     if charset < 0:
@@ -86,9 +86,9 @@
 
 @lru_cache(maxsize=CACHED_DEFINITIONS)
 def decode_column(payload: bytes) -> Column:
-    """The column of a definition. Raises ProtocolError."""
+    """Decode a column definition. Raises ProtocolError."""
     cursor = Cursor(payload)
-    cursor.string()  # the catalogue: always "def"
+    cursor.string()  # the catalog, which is always "def"
     schema, table, original_table, name, original_name = (
         cursor.string().decode("utf-8", "replace") for _ in range(5)
     )
--- a/juniperreel/mysql/constants.py
+++ b/juniperreel/mysql/constants.py
@@ -1,4 +1,4 @@
-"""Numbers that the protocol's documentation names."""
+"""Constants of the protocol, named as in its documentation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 UTF8MB4 = 255  # utf8mb4_0900_ai_ci
 BINARY = 63
 
-# First bytes of packets, and of values in text.
+# First bytes of packets, and of values in the text protocol.
 OK = 0x00
 AUTH_MORE_DATA = 0x01
 NULL = 0xFB
@@ -17,14 +17,14 @@
 AUTH_SWITCH = 0xFE
 ERR = 0xFF
 
-# A packet that begins with EOF is one only below this length; else it is a row.
+# A packet that begins with EOF is an EOF packet only if it is shorter than this; otherwise it is a row.
 MAX_EOF_BYTES = 9
 
-PARAMETER_COUNT_AVAILABLE = 0x08  # flag of COM_STMT_EXECUTE: attributes come with the parameters
+PARAMETER_COUNT_AVAILABLE = 0x08  # flag of COM_STMT_EXECUTE: query attributes follow the parameters
 
 
 class Capability(IntEnum):
-    """CLIENT_ flags, which both sides agree on at the login."""
+    """CLIENT_ flags, which are negotiated during the login."""
 
     LONG_PASSWORD = 1
     FOUND_ROWS = 1 << 1
@@ -47,7 +47,7 @@
 
 
 class CommandCode(IntEnum):
-    """COM_ codes, the first byte of a command."""
+    """COM_ codes: the first byte of a command."""
 
     QUIT = 0x01
     INIT_DB = 0x02
@@ -66,7 +66,7 @@
 
 
 class ColumnType(IntEnum):
-    """MYSQL_TYPE_ codes, of columns and of parameters."""
+    """MYSQL_TYPE_ codes of columns and parameters."""
 
     DECIMAL = 0
     TINY = 1
@@ -116,7 +116,7 @@
 
 
 class SessionTrackType(IntEnum):
-    """SESSION_TRACK_ kinds of session changes in an OK packet."""
+    """SESSION_TRACK_ codes of session changes in an OK packet."""
 
     SYSTEM_VARIABLE = 0
     SCHEMA = 1
--- a/juniperreel/mysql/packets.py
+++ b/juniperreel/mysql/packets.py
@@ -1,7 +1,7 @@
-"""Packets, and the primitive values within them.
+"""Packets, and the basic data types within them.
 
-A packet is a length of three bytes, a sequence id, and that many bytes of payload; a longer payload goes in
-several packets, of which the last one is not full.
+A packet is a three-byte length, a sequence id, and that many bytes of payload. A longer payload is split into
+several packets, of which all but the last have the maximum length.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke the protocol. `code` and `sqlstate` are for an ERR packet, if one can still be sent."""
+    """The peer broke the protocol. `code` and `sqlstate` are those of the ERR packet, if one can be sent."""
 
     def __init__(self, text: str, code: int = BAD_HANDSHAKE, sqlstate: str = COMMUNICATION_ERROR) -> None:
         super().__init__(text)
@@ -27,14 +27,17 @@
 
 
 class PacketReader:
-    """Bytes in, payloads out. Holds at most one payload of `limit` bytes and what follows it."""
+    """Splits received bytes into payloads.
+
+    Buffers at most one payload of `limit` bytes and the bytes received after it.
+    """
 
     def __init__(self, limit: int) -> None:
-        """`limit` of a payload, in bytes; may be changed later."""
+        """`limit` is the maximum size of a payload in bytes; it may be changed later."""
         self.limit = limit
-        self.sequence = 0  # expected next; a new command starts again at 0
+        self.sequence = 0  # of the next packet; restarts at 0 with each command
         self._data = bytearray()
-        self._joined = bytearray()  # the full packets of the payload that is being read
+        self._joined = bytearray()  # the payload's packets received so far
 
     def feed(self, data: bytes) -> None:
         """Add received bytes."""
@@ -42,17 +45,17 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that no payload was made of yet."""
+        """Received bytes that were not returned as a payload yet."""
         return len(self._data) + len(self._joined)
 
     def take_remainder(self) -> bytes:
-        """What follows the last packet, which is not for this reader."""
+        """Remove and return the bytes after the last packet, which belong to another protocol layer."""
         remainder = bytes(self._data)
         self._data = bytearray()
         return remainder
 
     def next_payload(self) -> bytes | None:
-        """The next complete payload, or None until more bytes come. Raises ProtocolError."""
+        """Return the next complete payload, or None if more bytes are needed. Raises ProtocolError."""
         while len(self._data) >= HEADER_BYTES:
             size = int.from_bytes(self._data[:3], "little")
             self._check_header(size, self._data[3])
@@ -70,21 +73,21 @@
 
     def _check_header(self, size: int, sequence: int) -> None:
         if len(self._joined) + size > self.limit:
-            # Danger: a length may announce more than can be held; no memory is reserved for it.
+            # The announced length is not trusted: no memory is allocated for bytes that have not arrived.
             raise ProtocolError(f"a packet of more than {self.limit} bytes", PACKET_TOO_LARGE)
         if sequence != self.sequence:
             raise ProtocolError(f"packet {sequence} came where {self.sequence} was due", PACKETS_OUT_OF_ORDER)
 
 
 class EncodedPackets(NamedTuple):
-    """A payload's packets, and the sequence id of the packet that follows them."""
+    """A payload's packets, and the sequence id of the next packet."""
 
     data: bytes
     next_sequence: int
 
 
 def encode_packets(payload: bytes, sequence: int) -> EncodedPackets:
-    """Cut a payload into packets. One of full length is followed by another, if only an empty one."""
+    """Split a payload into packets. A packet of maximum length is followed by another, which may be empty."""
     data = bytearray()
     rest = memoryview(payload)
     while True:
@@ -97,41 +100,41 @@
             return EncodedPackets(bytes(data), sequence)
 
 
-# Length-encoded integers: the first byte is the value, or says how many bytes follow.
+# Length-encoded integers: the first byte is the value, or determines how many bytes follow.
 MAX_SINGLE_BYTE = 0xFA
 LENGTH_SIZES = {0xFC: 2, 0xFD: 3, 0xFE: 8}
 
 
 class Cursor:
-    """Reads values from a payload. Raises ProtocolError where it ends too soon."""
+    """Reads values from a payload. All methods raise ProtocolError if the payload is too short."""
 
     def __init__(self, data: bytes) -> None:
-        """Begins at the first byte."""
+        """Starts at the first byte."""
         self._data = data
         self._position = 0
 
     @property
     def remaining(self) -> int:
-        """Bytes that were not read yet."""
+        """The number of bytes that were not read yet."""
         return len(self._data) - self._position
 
     def peek(self) -> int:
-        """The next byte; -1 at the end."""
+        """Return the next byte without reading it; -1 at the end."""
         return self._data[self._position] if self.remaining else -1
 
     def take(self, count: int) -> bytes:
-        """The next `count` bytes."""
+        """Read the next `count` bytes."""
         if count > self.remaining:
             raise ProtocolError("a packet ends inside a value")
         self._position += count
         return self._data[self._position - count : self._position]
 
     def integer(self, size: int) -> int:
-        """An integer of `size` bytes."""
+        """Read an integer of `size` bytes."""
         return int.from_bytes(self.take(size), "little")
 
     def nul_terminated(self) -> bytes:
-        """A string up to the next NUL."""
+        """Read a NUL-terminated string."""
         end = self._data.find(b"\0", self._position)
         if end < 0:
             raise ProtocolError("a string does not end")
@@ -140,7 +143,7 @@
         return value
 
     def length(self) -> int:
-        """A length-encoded integer."""
+        """Read a length-encoded integer."""
         first = self.integer(1)
         if first <= MAX_SINGLE_BYTE:
             return first
@@ -149,24 +152,24 @@
         return self.integer(LENGTH_SIZES[first])
 
     def string(self) -> bytes:
-        """A length-encoded string."""
+        """Read a length-encoded string."""
         return self.take(self.length())
 
     def remainder(self) -> bytes:
-        """All that was not read yet."""
+        """Read all remaining bytes."""
         return self.take(self.remaining)
 
 
 def encode_length(value: int) -> bytes:
-    """A length-encoded integer. Raises ValueError beyond 64 bits."""
+    """Encode a length-encoded integer. Raises ValueError beyond 64 bits."""
     if value <= MAX_SINGLE_BYTE:
         return bytes((value,))
     for first, size in LENGTH_SIZES.items():
         if value < 1 << (8 * size):
             return bytes((first,)) + value.to_bytes(size, "little")
-    raise ValueError(f"{value} is too long")
+    raise ValueError(f"{value} does not fit in 64 bits")
 
 
 def encode_string(value: bytes) -> bytes:
-    """A length-encoded string."""
+    """Encode a length-encoded string."""
     return encode_length(len(value)) + value
--- a/juniperreel/mysql/parameters.py
+++ b/juniperreel/mysql/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of executions, and query attributes ("COM_STMT_EXECUTE" and "COM_QUERY")."""
+"""Parameters of prepared statements ("COM_STMT_EXECUTE"), and query attributes ("COM_QUERY")."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from juniperreel.mysql.values import Value, decode_binary_value, decode_string
 
 UNSIGNED = 0x80  # flag of a parameter's type
-MAX_ATTRIBUTES = 32  # of one command
+MAX_ATTRIBUTES = 32  # per command
 TYPES_FOLLOW = b"\x01"
 
 
 class OutOfRangeError(Exception):
-    """A number beyond 64 bits signed, which endpoints do not hold."""
+    """A number does not fit in a signed 64-bit integer, which is what endpoints support."""
 
 
 @dataclass(frozen=True, slots=True)
 class Parameter:
-    """A parameter's type as sent; only an attribute has a name."""
+    """A parameter's type as sent. Only query attributes have a name."""
 
     type: int
     unsigned: bool
@@ -30,14 +30,14 @@
 
 
 class EncodedValue(NamedTuple):
-    """A parameter's type and bytes."""
+    """A parameter's type and encoded value."""
 
     type: int
     data: bytes
 
 
 def decode_parameter_types(cursor: Cursor, total: int, named: bool) -> list[Parameter]:
-    """The types of `total` parameters, with their names if `named`. Raises ProtocolError."""
+    """Decode the types of `total` parameters, with their names if `named`. Raises ProtocolError."""
     parameters = []
     for _ in range(total):
         value_type = cursor.integer(1)
@@ -53,9 +53,10 @@
     null_bitmap: bytes,
     long_data: Mapping[int, bytes | bytearray],
 ) -> list[Value]:
-    """The parameters' values; `long_data` was sent ahead, by position.
+    """Decode the parameters' values.
 
-    Raises ProtocolError, or OutOfRangeError.
+    `long_data` has the values that were sent before by COM_STMT_SEND_LONG_DATA, by position.
+    Raises ProtocolError or OutOfRangeError.
     """
     values: list[Value] = []
     for position, parameter in enumerate(parameters):
@@ -72,7 +73,7 @@
 
 
 def decode_query_attributes(cursor: Cursor) -> dict[str, Value]:
-    """The attributes ahead of a COM_QUERY's text. Raises ProtocolError."""
+    """Decode the attributes that precede the text of a COM_QUERY. Raises ProtocolError."""
     total = cursor.length()
     cursor.length()  # the number of parameter sets, which is always 1
     if not total:
@@ -91,7 +92,7 @@
 
 
 def encode_parameter_value(value: Value) -> EncodedValue:
-    """A parameter; NULL has no bytes."""
+    """Encode a parameter; NULL has no bytes."""
     match value:
         case None:
             return EncodedValue(ColumnType.NULL, b"")
@@ -106,7 +107,7 @@
 
 
 def encode_parameters(values: Sequence[Value], names: Sequence[str] | None) -> bytes:
-    """Bitmap, types and values; `names` where both sides agreed on attributes."""
+    """Encode null bitmap, types and values, with `names` if query attributes were negotiated."""
     null_bitmap = bytearray((len(values) + 7) // 8)
     types = bytearray()
     data = bytearray()
@@ -122,7 +123,7 @@
 
 
 def encode_query_attributes(attributes: Mapping[str, Value]) -> bytes:
-    """The attributes ahead of a COM_QUERY's text."""
+    """Encode the attributes that precede the text of a COM_QUERY."""
     head = encode_length(len(attributes)) + encode_length(1)
     if not attributes:
         return head
--- a/juniperreel/mysql/replies.py
+++ b/juniperreel/mysql/replies.py
@@ -1,4 +1,4 @@
-"""OK and ERR packets, both ways, with what an OK packet says of the session."""
+"""Encoding and decoding of OK and ERR packets, including session tracking."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ok:
-    """An OK packet, which may also end a result."""
+    """An OK packet, which may also end a result set."""
 
     affected: int = 0
     insert_id: int = 0
@@ -32,11 +32,11 @@
 
     @property
     def gtids(self) -> str:
-        """GTIDs of the transaction just committed; empty if there are none."""
+        """The GTIDs of the committed transaction; empty if there are none."""
         for kind, data in self.tracked:
             if kind == SessionTrackType.GTIDS:
                 cursor = Cursor(data)
-                cursor.take(1)  # the encoding specification, of which there is one
+                cursor.take(1)  # the encoding specification, of which only one exists
                 return cursor.string().decode("ascii", "replace")
         return ""
 
@@ -51,12 +51,12 @@
 
 
 def gtid_track(gtids: str) -> tuple[int, bytes]:
-    """A session change that carries GTIDs."""
+    """Return a session change that carries GTIDs."""
     return SessionTrackType.GTIDS, b"\0" + encode_string(gtids.encode())
 
 
 def encode_ok(first: int, ok: Ok, capabilities: int) -> bytes:
-    """The packet's payload. `first`: OK, or EOF where it ends a result."""
+    """Return the packet's payload. `first` is OK, or EOF if it ends a result set."""
     tracks = bool(capabilities & Capability.SESSION_TRACK)
     status = ok.status | (ServerStatus.STATE_CHANGED if tracks and ok.tracked else 0)
     payload = bytes((first,)) + encode_length(ok.affected) + encode_length(ok.insert_id)
@@ -72,7 +72,7 @@
 
 
 def decode_ok(payload: bytes, capabilities: int) -> Ok:
-    """The packet of a payload, whose first byte is skipped. Raises ProtocolError."""
+    """Decode an OK packet, ignoring its first byte. Raises ProtocolError."""
     cursor = Cursor(payload)
     cursor.take(1)
     affected = cursor.length()
@@ -92,14 +92,14 @@
 
 
 def encode_err(code: int, sqlstate: str, message: str) -> bytes:
-    """The packet's payload; a message that is too long is cut."""
+    """Return the packet's payload; a message that is too long is truncated."""
     state = sqlstate.encode("ascii", "replace")[:SQLSTATE_BYTES].ljust(SQLSTATE_BYTES, b"0")
     text = message.encode("utf-8", "replace")[:MAX_MESSAGE_BYTES]
     return bytes((ERR,)) + code.to_bytes(2, "little") + b"#" + state + text
 
 
 def decode_err(payload: bytes) -> Err:
-    """The packet of a payload. Before a login there may be no SQLSTATE. Raises ProtocolError."""
+    """Decode an ERR packet, which may have no SQLSTATE before the login. Raises ProtocolError."""
     if len(payload) < ERR_HEADER_BYTES or payload[0] != ERR:
         raise ProtocolError("no error packet")
     code = int.from_bytes(payload[1:ERR_HEADER_BYTES], "little")
--- a/juniperreel/mysql/rows.py
+++ b/juniperreel/mysql/rows.py
@@ -1,4 +1,4 @@
-"""Rows of results, in text and in binary."""
+"""Rows of result sets in the text and the binary protocol."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     encode_text_value,
 )
 
-NULL_BITMAP_OFFSET = 2  # the first bits of a binary row's bitmap are reserved
+NULL_BITMAP_OFFSET = 2  # reserved bits at the start of a binary row's null bitmap
 
 
 def encode_text_row(row: Sequence[Value]) -> bytes:
-    """A row in text."""
+    """Encode a row in the text protocol."""
     return b"".join(encode_text_value(value) for value in row)
 
 
 def decode_text_row(columns: Sequence[Column], payload: bytes) -> list[Value]:
-    """The values of a row in text. Raises ProtocolError."""
+    """Decode a row of the text protocol. Raises ProtocolError."""
     cursor = Cursor(payload)
     row: list[Value] = []
     for column in columns:
@@ -37,7 +37,7 @@
 
 
 def encode_binary_row(columns: Sequence[Column], row: Sequence[Value]) -> bytes:
-    """A row in binary: a bitmap of what is NULL, and the other values."""
+    """Encode a row in the binary protocol: a null bitmap, and the values that are not NULL."""
     null_bitmap = bytearray((len(columns) + NULL_BITMAP_OFFSET + 7) // 8)
     data = bytearray()
     for position, (column, value) in enumerate(zip(columns, row, strict=True), NULL_BITMAP_OFFSET):
@@ -49,7 +49,7 @@
 
 
 def decode_binary_row(columns: Sequence[Column], payload: bytes) -> list[Value]:
-    """The values of a row in binary. Raises ProtocolError."""
+    """Decode a row of the binary protocol. Raises ProtocolError."""
     cursor = Cursor(payload)
     cursor.take(1)
     null_bitmap = cursor.take((len(columns) + NULL_BITMAP_OFFSET + 7) // 8)
--- a/juniperreel/mysql/server.py
+++ b/juniperreel/mysql/server.py
@@ -1,9 +1,11 @@
-"""One connection, server side: bytes in, events out, bytes to send. No I/O, no policy.
+"""Protocol state of one connection on the server. No I/O, no policy.
+
+Turns received bytes into events, and responses into bytes to send.
 
     GREETING -> AUTH -> (SWITCH) -> READY <-> BUSY -> CLOSED
 
-In READY a command is taken and returned as an event; in BUSY its response is written by `ok`, `error`,
-`result` and others, which lead back to READY. Commands that a client sends ahead wait until then.
+In READY, the next command is returned as an event. In BUSY, `ok`, `error`, `result` and similar methods write
+its response and return to READY. Pipelined commands are buffered until then.
 """
 
 from __future__ import annotations
@@ -39,10 +41,10 @@
 
 VERSION = b"8.0.36-juniperreel"
 PROTOCOL_VERSION = b"\x0a"
-MAX_LOGIN_BYTES = 16 << 10  # of a packet before the login
-SSL_REQUEST_BYTES = 32  # of a login packet that ends ahead of the user's name
-FIRST_NONCE_PART = 8  # bytes of the nonce that stand ahead of the rest in the greeting
-FAST_AUTH_SUCCESS = bytes((AUTH_MORE_DATA, 0x03))  # of caching_sha2_password: the stored hash suffices
+MAX_LOGIN_BYTES = 16 << 10  # maximum packet size before the login
+SSL_REQUEST_BYTES = 32  # a login packet that ends before the user name
+FIRST_NONCE_PART = 8  # bytes of the first of the two parts of the nonce in the greeting
+FAST_AUTH_SUCCESS = bytes((AUTH_MORE_DATA, 0x03))  # caching_sha2_password verified the stored hash
 
 OFFERED = (
     Capability.LONG_PASSWORD
@@ -65,7 +67,7 @@
 
 
 class State(Enum):
-    """See the module's docstring."""
+    """The states of a connection; see the module's docstring."""
 
     GREETING = "greeting"
     AUTH = "auth"
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedIn:
-    """The client has logged in, also by COM_CHANGE_USER. `charset` is the collation id that it asked for."""
+    """The client logged in, possibly by COM_CHANGE_USER. `charset` is the collation id that it requested."""
 
     user: str
     database: str
@@ -86,9 +88,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command that must be answered. `kind` may be one that CommandCode does not name.
+    """A command that needs a response. `kind` may be a code that CommandCode does not define.
 
-    `attributes` are those of a COM_QUERY; an execution's are still in its payload.
+    `attributes` are those of a COM_QUERY; those of a COM_STMT_EXECUTE are left in the payload.
     """
 
     kind: int
@@ -98,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTls:
-    """The client goes on inside TLS: what comes next, and `rest`, is for a TLS server."""
+    """The client requested TLS: `rest` and all bytes received from now on belong to the TLS layer."""
 
     rest: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed:
-    """The connection is over: close the socket once all is sent."""
+    """The connection has ended: close the socket once all data is sent."""
 
     reason: str
 
@@ -127,11 +129,17 @@
         version: bytes = VERSION,
         schema: str = "",
     ) -> None:
-        """Begins in GREETING; `start` sends it.
-
-        `nonce`: NONCE_BYTES random bytes without NUL. `credentials` finds a user's credential. `max_packet`:
-        bytes of a command. `plugin`: the authentication that is offered first. `tls`: offered; a client may
-        ask for it once, before it logs in. `schema`: the only one there is; empty where any will do.
+        """Starts in GREETING; `start` sends the greeting.
+
+        Args:
+            connection_id: Sent to the client in the greeting.
+            nonce: NONCE_BYTES random bytes, none of them NUL.
+            credentials: Returns a user's credential, or None if the user is unknown.
+            max_packet: Maximum size of a command in bytes.
+            plugin: The authentication plugin that the greeting offers.
+            tls: Whether TLS is offered; a client may request it once, before it logs in.
+            version: The server version in the greeting.
+            schema: The only schema that clients may use; empty to accept any.
         """
         if len(nonce) != NONCE_BYTES or 0 in nonce:
             raise ValueError(f"a nonce has {NONCE_BYTES} bytes, none of them NUL")
@@ -155,7 +163,7 @@
     # Bytes.
 
     def data_to_send(self) -> bytes:
-        """Take what is to be sent."""
+        """Remove and return the bytes to send."""
         data = bytes(self._out)
         self._out = bytearray()
         return data
@@ -167,7 +175,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes of commands that wait; while there are many, no more should be received."""
+        """Bytes of buffered commands; callers should stop receiving while this is large."""
         return self._reader.buffered_bytes
 
     def start(self) -> None:
@@ -193,7 +201,10 @@
         self.state = State.AUTH
 
     def receive(self, data: bytes) -> list[Event]:
-        """Process received bytes. Never raises: whoever breaks the protocol is sent an error and closed."""
+        """Process received bytes.
+
+        Never raises: a client that breaks the protocol gets an error, and the connection is closed.
+        """
         if self.state is State.CLOSED:
             return []
         self._reader.feed(data)
@@ -223,7 +234,7 @@
         return bool(int.from_bytes(payload[:4], "little") & Capability.SSL)
 
     def close(self, reason: str) -> ConnectionClosed:
-        """Take no more commands; what is to be sent still is."""
+        """Accept no more commands; data that is already queued should still be sent."""
         self.state = State.CLOSED
         return ConnectionClosed(reason)
 
@@ -253,7 +264,7 @@
 
     @property
     def supports_attributes(self) -> bool:
-        """Whether both sides agreed on query attributes."""
+        """Whether query attributes were negotiated."""
         return bool(self.capabilities & Capability.QUERY_ATTRIBUTES)
 
     # Login.
@@ -263,7 +274,7 @@
         if capabilities & REQUIRED != REQUIRED:
             raise ProtocolError("clients before version 4.1 are not served", *OLD_CLIENT)
         self.capabilities = capabilities & OFFERED
-        cursor.integer(4)  # the client's packet limit: ours is smaller
+        cursor.integer(4)  # the client's maximum packet size, which is larger than ours
         charset = cursor.integer(1)
         cursor.take(23)
         user = decode_name(cursor.nul_terminated())
@@ -282,7 +293,7 @@
         return []
 
     def _on_change_user(self, cursor: Cursor) -> list[Event]:
-        """Another login on the same connection: it succeeds, or the connection is closed."""
+        """Process a new login on the same connection, which is closed if the login fails."""
         user = decode_name(cursor.nul_terminated())
         response = cursor.take(cursor.integer(1))
         database = decode_name(cursor.nul_terminated())
@@ -300,7 +311,7 @@
         return NATIVE
 
     def _request_authentication(self) -> None:
-        """Name the plugin and the nonce to a client that used another one, or sent no response."""
+        """Send AuthSwitchRequest to a client that used another plugin or sent no response."""
         self._send(bytes((AUTH_SWITCH,)) + self._plugin.encode() + b"\0" + self._nonce + b"\0")
         self.state = State.SWITCH
 
@@ -310,7 +321,7 @@
         credential = self._credentials(login.user)
         verified = (credential or UNKNOWN_USER).verify(plugin, self._nonce, response)
         if credential is None or not verified:
-            # The same message whether the user or the password is wrong.
+            # The message must not reveal whether the user or the password is wrong.
             self._send_error(*ACCESS_DENIED, f"Access denied for user '{login.user[:32]}'")
             return [self.close("access denied")]
         if not self.accepts_database(login.database):
@@ -326,7 +337,7 @@
         """Whether a client may use the database."""
         return not database or not self._schema or database.lower() == self._schema.lower()
 
-    # Responses. Each returns the events of commands that arrived meanwhile.
+    # Responses. Each method returns the events of commands that were buffered meanwhile.
 
     def _finish_command(self) -> list[Event]:
         self._sequence = 0
@@ -342,13 +353,13 @@
         warnings: int = 0,
         tracked: Sequence[tuple[int, bytes]] = (),
     ) -> list[Event]:
-        """Answer with an OK packet; `tracked`: session changes."""
+        """Send an OK packet; `tracked` are session changes."""
         packet = Ok(affected, insert_id, self.status, warnings, info.encode(), tuple(tracked))
         self._send(encode_ok(OK, packet, self.capabilities))
         return self._finish_command()
 
     def error(self, code: int, sqlstate: str, message: str) -> list[Event]:
-        """Answer with an ERR packet, also in the middle of a result, which it ends."""
+        """Send an ERR packet; within a result set, it ends the result set."""
         self._send_error(code, sqlstate, message)
         return self._finish_command()
 
@@ -356,21 +367,21 @@
         self._send(encode_err(code, sqlstate, message))
 
     def no_response(self) -> list[Event]:
-        """Finish a command that has no response."""
+        """End a command that has no response."""
         return self._finish_command()
 
     def statistics(self, text: str) -> list[Event]:
-        """Answer COM_STATISTICS."""
+        """Respond to COM_STATISTICS."""
         self._send(text.encode())
         return self._finish_command()
 
     def option_set(self) -> list[Event]:
-        """Answer COM_SET_OPTION, with an EOF packet whatever the capabilities."""
+        """Respond to COM_SET_OPTION, with an EOF packet regardless of the capabilities."""
         self._send_eof(0, self.status)
         return self._finish_command()
 
     def prepared(self, statement_id: int, parameters: int) -> list[Event]:
-        """Answer COM_STMT_PREPARE. The columns are described with each result, as for SHOW."""
+        """Respond to COM_STMT_PREPARE. Columns are described only in results, as MySQL does for SHOW."""
         self._send(
             bytes((OK,))
             + statement_id.to_bytes(4, "little")
@@ -390,7 +401,7 @@
         rows: Iterable[Sequence[Value]],
         encode_row: Callable[[Sequence[Column], Sequence[Value]], bytes] | None = None,
     ) -> list[Event]:
-        """Answer with a result set, its rows in text or as `encode_row` makes them."""
+        """Send a result set, with rows encoded by `encode_row`, or else in the text protocol."""
         self.begin_result(columns)
         if encode_row is None:
             self.rows(encode_text_row(values) for values in rows)
@@ -398,10 +409,10 @@
             self.rows(encode_row(columns, values) for values in rows)
         return self.end_result()
 
-    # A result in parts, for one that is longer than should be held in memory.
+    # Result sets sent in parts, for those that are too large to hold in memory.
 
     def begin_result(self, columns: Sequence[Column]) -> None:
-        """Send the columns."""
+        """Send the column definitions."""
         self._send(encode_length(len(columns)))
         for column in columns:
             self._send(encode_column(column))
@@ -416,7 +427,7 @@
     def end_result(
         self, warnings: int = 0, tracked: Sequence[tuple[int, bytes]] = (), more: bool = False
     ) -> list[Event]:
-        """End the result. `more`: another result, or an OK or ERR, follows for the same command."""
+        """End the result set. With `more`, a result set, OK or ERR follows for the same command."""
         status = self.status | (ServerStatus.MORE_RESULTS if more else 0)
         if self.capabilities & Capability.DEPRECATE_EOF:
             packet = Ok(status=status, warnings=warnings, tracked=tuple(tracked))
@@ -432,7 +443,7 @@
 
 
 def decode_name(data: bytes) -> str:
-    """A user, database or plugin. Raises ProtocolError."""
+    """Decode the name of a user, database or plugin. Raises ProtocolError."""
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError:
--- a/juniperreel/mysql/values.py
+++ b/juniperreel/mysql/values.py
@@ -1,6 +1,6 @@
-"""Single values between bytes and Python, in the text and the binary protocol.
+"""Encoding and decoding of single values in the text and the binary protocol.
 
-Source: MySQL's public documentation, "Text Resultset Row" and "Binary Protocol Resultset".
+Source: MySQL's documentation, "Text Resultset Row" and "Binary Protocol Resultset".
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 }
 DATETIME_TYPES = frozenset({ColumnType.DATE, ColumnType.DATETIME, ColumnType.TIMESTAMP})
 
-# Dates and times in binary; the parts at the end are left out where they are 0.
+# Dates and times in the binary protocol; trailing parts are omitted if they are 0.
 DATETIME = struct.Struct("<HBBBBBI")  # year, month, day, hour, minute, second, microsecond
 DATETIME_SIZES = (0, 4, 7, 11)
 TIME = struct.Struct("<BIBBBI")  # negative, days, hours, minutes, seconds, microseconds
 TIME_SIZES = (0, 8, 12)
 
 
-# In text.
+# Text protocol.
 
 
 def encode_text_value(value: Value) -> bytes:
-    """A value of a row in text."""
+    """Encode a value of a row in the text protocol."""
     match value:
         case None:
             return bytes((NULL,))
@@ -49,9 +49,9 @@
 
 
 def decode_text_value(column: Column, data: bytes) -> Value:
-    """The value of a cell in text. Raises ProtocolError.
+    """Decode a value of a row in the text protocol. Raises ProtocolError.
 
-    Decimals, dates and times stay text, so that nothing of them is lost.
+    Decimals, dates and times remain strings, so that no precision is lost.
     """
     try:
         if column.type in INTEGER_SIZES:
@@ -66,7 +66,7 @@
 
 
 def holds_bytes(column: Column) -> bool:
-    """Whether the cells of a column that holds no numbers are bytes and not text."""
+    """Whether the values of a non-numeric column are bytes, not text."""
     if column.type in BLOB_TYPES:
         return True
     if column.type in (ColumnType.NEWDECIMAL, ColumnType.JSON):
@@ -74,11 +74,11 @@
     return column.charset == BINARY and column.type in STRING_TYPES
 
 
-# In binary.
+# Binary protocol.
 
 
 def encode_binary_value(column: Column, value: int | float | str | bytes) -> bytes:
-    """A value as its column's type has it; dates and times are given as text."""
+    """Encode a value according to its column's type; dates and times are passed as strings."""
     if column.type in INTEGER_SIZES and isinstance(value, int):
         signed = not column.flags & ColumnFlag.UNSIGNED
         return value.to_bytes(INTEGER_SIZES[ColumnType(column.type)], "little", signed=signed)
@@ -96,7 +96,7 @@
 
 
 def decode_binary_value(cursor: Cursor, value_type: int, unsigned: bool) -> Value:
-    """The next value, of a row or a parameter. Raises ProtocolError."""
+    """Decode the next value of a row or a parameter. Raises ProtocolError."""
     if value_type in INTEGER_SIZES:
         size = INTEGER_SIZES[ColumnType(value_type)]
         return int.from_bytes(cursor.take(size), "little", signed=not unsigned)
@@ -116,7 +116,7 @@
 
 
 def decode_string(value_type: int, data: bytes) -> Value:
-    """Text where the type and the bytes allow it; else bytes."""
+    """Return a string if the type is not a BLOB and the bytes are valid UTF-8; else the bytes."""
     if value_type in BLOB_TYPES:
         return data
     try:
@@ -126,7 +126,7 @@
 
 
 def decode_datetime(data: bytes, date_only: bool) -> str:
-    """`2026-01-31`, with ` 23:59:59` unless `date_only`, and a fraction if there is one."""
+    """Return `2026-01-31`, followed by ` 23:59:59` unless `date_only`, and by a fraction unless it is 0."""
     if len(data) not in DATETIME_SIZES:
         raise ProtocolError(f"a date of {len(data)} bytes")
     year, month, day, hour, minute, second, microsecond = DATETIME.unpack(data.ljust(DATETIME.size, b"\0"))
@@ -139,7 +139,7 @@
 
 
 def encode_datetime(text: str) -> bytes:
-    """The value of `2026-01-31`, with ` 23:59:59` and `.000001` behind it or not."""
+    """Encode `2026-01-31`, optionally followed by ` 23:59:59` and a fraction such as `.000001`."""
     date, _, time = text.partition(" ")
     year, month, day = (int(part) for part in date.split("-"))
     data = struct.pack("<HBB", year, month, day)
@@ -151,7 +151,7 @@
 
 
 def decode_time(data: bytes) -> str:
-    """`-838:59:59`, with a fraction if there is one."""
+    """Return a time such as `-838:59:59`, followed by a fraction unless it is 0."""
     if len(data) not in TIME_SIZES:
         raise ProtocolError(f"a time of {len(data)} bytes")
     negative, days, hours, minutes, seconds, microseconds = TIME.unpack(data.ljust(TIME.size, b"\0"))
@@ -160,7 +160,7 @@
 
 
 def encode_time(text: str) -> bytes:
-    """The value of `-838:59:59`, with a fraction or not."""
+    """Encode a time such as `-838:59:59`, optionally with a fraction."""
     clock, _, fraction = text.lstrip("-").partition(".")
     hours, minutes, seconds = (int(part) for part in clock.split(":"))
     data = struct.pack("<BIBBB", text.startswith("-"), hours // 24, hours % 24, minutes, seconds)
@@ -169,5 +169,5 @@
 
 
 def encode_fraction(digits: str) -> bytes:
-    """Microseconds from the digits behind the point; empty for none."""
+    """Encode the digits of a fraction as microseconds; empty if there are none."""
     return int(digits.ljust(6, "0")).to_bytes(4, "little") if digits else b""
--- a/tests/mysql/test_client.py
+++ b/tests/mysql/test_client.py
@@ -1,4 +1,4 @@
-"""The client's side against the server's, by bytes; and the fake member against pymysql."""
+"""The client side of the protocol, tested with our server side, and the fake endpoint with pymysql."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class ConnectedPair:
-    """Both sides in memory, and the events of each."""
+    """A client and a server connected in memory, with the events of both."""
 
     def __init__(self, plugin: str = SHA2, password: bytes = b"love lace", without: int = 0) -> None:
         self.server = ServerSession(7, NONCE, USERS.get, 64 << 20, plugin)
@@ -63,7 +63,7 @@
         self.logins: list[LoggedIn] = []
 
     def exchange(self, step: int = 1 << 30) -> list[ClientEvent]:
-        """Carry bytes until neither side sends any; the test answers commands."""
+        """Transfer bytes until neither side sends any. The test responds to commands."""
         events: list[ClientEvent] = []
         while True:
             to_client = self.server.data_to_send()
@@ -187,11 +187,11 @@
 @pytest.mark.parametrize(
     "payload",
     [
-        b"\xfbfile",  # asks for a file of ours
+        b"\xfbfile",  # LOCAL INFILE request
         b"\xfe\0\0\2\0",
         b"",
         b"\xfc\xff\xff",  # 65535 columns
-        b"\x01\x02",  # a count that goes on
+        b"\x01\x02",  # a column count with trailing bytes
     ],
 )
 def test_malformed_answer_breaks_the_connection(payload: bytes) -> None:
@@ -270,14 +270,14 @@
     assert decode_err(encode_err(1, "HY000", "no")) == Err(1, "HY000", "no")
 
 
-# The fake member.
+# The fake endpoint.
 
 
 LOGIN: Any = {"user": USER, "password": PASSWORD.decode(), "autocommit": True}
 
 
 class SingleMember:
-    """A group of one primary that speaks MySQL."""
+    """A replication group with a single endpoint, a primary that speaks MySQL."""
 
     def __init__(self, shape: EndpointSettings) -> None:
         self.recorder = Recorder()
--- a/tests/mysql/test_server.py
+++ b/tests/mysql/test_server.py
@@ -1,4 +1,4 @@
-"""The server's side of the protocol, against pymysql."""
+"""The server side of the protocol, tested with pymysql as the client."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class RunningServer:
-    """A server that answers by the statement's text."""
+    """A server whose responses depend on the statement's text."""
 
     def __init__(self, port: int, seen: list[Event], closed: trio.Event) -> None:
         self.port = port
@@ -54,7 +54,7 @@
         self._closed = closed
 
     async def until_closed(self) -> None:
-        """The client's goodbye may still be on its way when the client is done."""
+        """Wait until the server has processed the client's COM_QUIT."""
         with trio.fail_after(SECONDS):
             await self._closed.wait()
         assert isinstance(self.seen[-1], ConnectionClosed)
@@ -165,7 +165,7 @@
 
 
 def login(protocol: ServerSession) -> None:
-    """By hand, with the native plugin."""
+    """Log in with a handwritten packet for mysql_native_password."""
     protocol.start()
     protocol.data_to_send()
     proof = xor(sha1(b"love lace"), sha1(NONCE, sha1(sha1(b"love lace"))))
--- a/tests/test_proto.py
+++ b/tests/test_proto.py
@@ -1,4 +1,4 @@
-"""The generated code is what its definitions give."""
+"""The generated protobuf code is up to date with the .proto files."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("proto", PROTOS, ids=[p.stem for p in PROTOS])
 def test_generated_code_is_up_to_date(proto: Path, tmp_path: Path) -> None:
-    """Compared by descriptor: another protoc writes the same thing in other words."""
+    """Compares descriptors, because other versions of protoc generate different code for the same file."""
     out = tmp_path / "descriptors"
     command = [
         sys.executable,
