--- a/juniperreel/mysql/auth.py
+++ b/juniperreel/mysql/auth.py
@@ -63,7 +63,7 @@
 
 
 # Verified for unknown users, so that the response time does not reveal which users exist.
-UNKNOWN_USER = Credential.from_password(b"\0nobody")
+PLACEHOLDER_CREDENTIAL = Credential.from_password(b"\0nobody")
 
 
 def auth_response(plugin: str, password: bytes, nonce: bytes) -> bytes | None:
--- a/juniperreel/mysql/client.py
+++ b/juniperreel/mysql/client.py
@@ -108,7 +108,7 @@
         self._sequence = 0
         self._commands: deque[CommandKind] = deque()
         self._phase = Phase.FIRST
-        self._definitions_due = 0
+        self._remaining_definitions = 0
         self._columns: list[Column] = []
         self._prepared = StatementPrepared(0, 0)
         self._prepared_columns = 0
@@ -157,20 +157,20 @@
                     break
                 events.extend(self._on_packet(payload))
         except ProtocolError as error:
-            events.append(self._break(str(error)))
+            events.append(self._mark_broken(str(error)))
         return events
 
-    def _break(self, reason: str, code: int = 0) -> ConnectionBroken:
+    def _mark_broken(self, reason: str, code: int = 0) -> ConnectionBroken:
         self.state = State.CLOSED
         return ConnectionBroken(reason, code)
 
     def _on_packet(self, payload: bytes) -> list[Event]:
         if self.state is State.READY:
-            return self._on_answer(payload)
+            return self._on_response(payload)
         self._sequence = self._reader.sequence
         if is_error(payload):
             err = decode_err(payload)
-            return [self._break(f"refused with {err.code}: {err.message}", err.code)]
+            return [self._mark_broken(f"refused with {err.code}: {err.message}", err.code)]
         if self.state is State.GREETING:
             return self._on_greeting(Cursor(payload))
         if self.state is State.AUTH:
@@ -200,14 +200,14 @@
         self.state = State.AUTH
 
     def _on_authentication(self, payload: bytes) -> list[Event]:
-        if self._login.is_finished(payload):
+        if self._login.completes_login(payload):
             self.state = State.READY
-            self._note_status(decode_ok(payload, self.capabilities))
-            self._expect_answer()
+            self._update_status(decode_ok(payload, self.capabilities))
+            self._expect_response()
             return [Ready(self.connection_id, self._login.version)]
-        answer = self._login.answer(payload)
-        if answer is not None:
-            self._send(answer)
+        reply = self._login.auth_reply(payload)
+        if reply is not None:
+            self._send(reply)
         return []
 
     def _send(self, payload: bytes) -> None:
@@ -224,7 +224,7 @@
         self._out += encode_packets(payload, 0).data
         if kind is not None:
             if not self._commands:
-                self._expect_answer()
+                self._expect_response()
             self._commands.append(kind)
 
     def query(self, text: bytes, attributes: Mapping[str, Value] | None = None) -> None:
@@ -275,22 +275,22 @@
 
     # Responses.
 
-    def _expect_answer(self) -> None:
+    def _expect_response(self) -> None:
         self._reader.sequence = 1
         self._phase = Phase.FIRST
 
     def _end_command(self) -> None:
         self._commands.popleft()
-        self._expect_answer()
+        self._expect_response()
 
-    def _note_status(self, ok: Ok) -> None:
+    def _update_status(self, ok: Ok) -> None:
         self.in_transaction = bool(ok.status & ServerStatus.IN_TRANSACTION)
 
-    def _on_answer(self, payload: bytes) -> list[Event]:
+    def _on_response(self, payload: bytes) -> list[Event]:
         if not self._commands:
             if is_error(payload):  # the reason why the server closes the connection
                 err = decode_err(payload)
-                return [self._break(f"ended with {err.code}: {err.message}", err.code)]
+                return [self._mark_broken(f"ended with {err.code}: {err.message}", err.code)]
             raise ProtocolError("an answer to nothing")
         if is_error(payload) and self._phase is not Phase.COLUMNS:
             self._end_command()
@@ -312,7 +312,7 @@
             return self._on_prepared(Cursor(payload))
         if payload[0] == OK:
             ok = decode_ok(payload, self.capabilities)
-            self._note_status(ok)
+            self._update_status(ok)
             if not ok.more_results:
                 self._end_command()
             return [Done(ok)]
@@ -324,7 +324,7 @@
         columns = cursor.length()
         if cursor.remaining or not 0 < columns <= MAX_COLUMNS:
             raise ProtocolError(f"a result of {columns} columns")
-        self._definitions_due = columns
+        self._remaining_definitions = columns
         self._columns = []
         self._phase = Phase.COLUMNS
         return []
@@ -335,10 +335,10 @@
         return not self.capabilities & Capability.DEPRECATE_EOF
 
     def _on_column(self, payload: bytes) -> list[Event]:
-        if self._definitions_due:
+        if self._remaining_definitions:
             self._columns.append(decode_column(payload))
-            self._definitions_due -= 1
-            if self._definitions_due or self._sends_eof:
+            self._remaining_definitions -= 1
+            if self._remaining_definitions or self._sends_eof:
                 return []
         elif payload[:1] != bytes((EOF,)) or len(payload) >= MAX_EOF_BYTES:
             raise ProtocolError("definitions do not end")
@@ -350,7 +350,7 @@
         if payload[:1] != bytes((EOF,)) or len(payload) >= limit:
             return [Row(payload)]
         ok = self._decode_end(payload)
-        self._note_status(ok)
+        self._update_status(ok)
         if ok.more_results:
             self._phase = Phase.FIRST
         else:
@@ -372,22 +372,22 @@
         self._prepared_columns = cursor.integer(2)
         parameters = cursor.integer(2)
         self._prepared = StatementPrepared(statement_id, parameters)
-        self._definitions_due = parameters
+        self._remaining_definitions = parameters
         self._phase = Phase.PARAMETERS
         return [] if parameters else self._end_prepared_phase()
 
     def _on_prepared_definition(self) -> list[Event]:
         """Skip a definition of a prepared statement, as the result of each execution has its own."""
-        if self._definitions_due:
-            self._definitions_due -= 1
-            if self._definitions_due or self._sends_eof:
+        if self._remaining_definitions:
+            self._remaining_definitions -= 1
+            if self._remaining_definitions or self._sends_eof:
                 return []
         return self._end_prepared_phase()
 
     def _end_prepared_phase(self) -> list[Event]:
         if self._phase is Phase.PARAMETERS and self._prepared_columns:
             self._phase = Phase.PREPARED_COLUMNS
-            self._definitions_due = self._prepared_columns
+            self._remaining_definitions = self._prepared_columns
             return []
         self._end_command()
         return [self._prepared]
--- a/juniperreel/mysql/client_login.py
+++ b/juniperreel/mysql/client_login.py
@@ -8,7 +8,7 @@
 from juniperreel.mysql.constants import AUTH_MORE_DATA, AUTH_SWITCH, OK, UTF8MB4, Capability
 from juniperreel.mysql.packets import Cursor, ProtocolError, encode_string
 
-WANTED = (
+REQUESTED_CAPABILITIES = (
     Capability.LONG_PASSWORD
     | Capability.LONG_FLAG
     | Capability.PROTOCOL_41
@@ -22,10 +22,10 @@
     | Capability.DEPRECATE_EOF
     | Capability.QUERY_ATTRIBUTES
 )
-REQUIRED = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
+REQUIRED_CAPABILITIES = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
 PROTOCOL_VERSION = 10
-FIRST_NONCE_PART = 8  # bytes of the first of the two parts of the nonce in the greeting
-MIN_SECOND_NONCE_PART = 13  # bytes, including the terminating NUL
+FIRST_NONCE_BYTES = 8  # the first of the two parts of the nonce in the greeting
+MIN_SECOND_NONCE_BYTES = 13  # including the terminating NUL
 MAX_ANNOUNCED_PACKET = 1 << 30
 
 # Status bytes of caching_sha2_password.
@@ -64,7 +64,7 @@
             raise ProtocolError("not a server of protocol 10")
         self.version = cursor.nul_terminated().decode("ascii", "replace")
         self.connection_id = cursor.integer(4)
-        nonce = cursor.take(FIRST_NONCE_PART)
+        nonce = cursor.take(FIRST_NONCE_BYTES)
         cursor.take(1)
         offered = cursor.integer(2)
         if not cursor.remaining:
@@ -73,19 +73,19 @@
         offered |= cursor.integer(2) << 16
         nonce_size = cursor.integer(1)
         cursor.take(10)
-        second_part = MIN_SECOND_NONCE_PART
+        second_part = MIN_SECOND_NONCE_BYTES
         if nonce_size:
-            second_part = max(MIN_SECOND_NONCE_PART, nonce_size - FIRST_NONCE_PART)
-        self._nonce = nonce + cursor.take(second_part - 1)[: NONCE_BYTES - FIRST_NONCE_PART]
+            second_part = max(MIN_SECOND_NONCE_BYTES, nonce_size - FIRST_NONCE_BYTES)
+        self._nonce = nonce + cursor.take(second_part - 1)[: NONCE_BYTES - FIRST_NONCE_BYTES]
         cursor.take(1)
         if offered & Capability.PLUGIN_AUTH:
             self._plugin = cursor.nul_terminated().decode("ascii", "replace")
-        if offered & REQUIRED != REQUIRED:
+        if offered & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
             raise ProtocolError("a server before version 4.1")
-        self._agree(offered)
+        self._negotiate_capabilities(offered)
 
-    def _agree(self, offered: int) -> None:
-        wanted = WANTED | (Capability.CONNECT_WITH_DB if self._options.database else 0)
+    def _negotiate_capabilities(self, offered: int) -> None:
+        wanted = REQUESTED_CAPABILITIES | (Capability.CONNECT_WITH_DB if self._options.database else 0)
         wanted |= Capability.FOUND_ROWS if self._options.found_rows else 0
         self.capabilities = wanted & offered
         if self._options.tls:
@@ -122,11 +122,11 @@
         return payload
 
     @staticmethod
-    def is_finished(payload: bytes) -> bool:
+    def completes_login(payload: bytes) -> bool:
         """Whether the server's packet completes the login."""
         return payload[:1] == bytes((OK,))
 
-    def answer(self, payload: bytes) -> bytes | None:
+    def auth_reply(self, payload: bytes) -> bytes | None:
         """Return the response to an authentication packet, or None if it needs none."""
         if payload[:1] == bytes((AUTH_SWITCH,)):
             return self._switch_plugin(Cursor(payload[1:]))
--- a/juniperreel/mysql/packets.py
+++ b/juniperreel/mysql/packets.py
@@ -37,7 +37,7 @@
         self.limit = limit
         self.sequence = 0  # of the next packet; restarts at 0 with each command
         self._data = bytearray()
-        self._joined = bytearray()  # the payload's packets received so far
+        self._partial_payload = bytearray()  # the payload's packets received so far
 
     def feed(self, data: bytes) -> None:
         """Add received bytes."""
@@ -46,7 +46,7 @@
     @property
     def buffered_bytes(self) -> int:
         """Received bytes that were not returned as a payload yet."""
-        return len(self._data) + len(self._joined)
+        return len(self._data) + len(self._partial_payload)
 
     def take_remainder(self) -> bytes:
         """Remove and return the bytes after the last packet, which belong to another protocol layer."""
@@ -62,17 +62,17 @@
             end = HEADER_BYTES + size
             if len(self._data) < end:
                 return None
-            self._joined += memoryview(self._data)[HEADER_BYTES:end]
+            self._partial_payload += memoryview(self._data)[HEADER_BYTES:end]
             del self._data[:end]
             self.sequence = (self.sequence + 1) % SEQUENCE_IDS
             if size < MAX_PACKET_PAYLOAD:
-                payload = bytes(self._joined)
-                self._joined = bytearray()
+                payload = bytes(self._partial_payload)
+                self._partial_payload = bytearray()
                 return payload
         return None
 
     def _check_header(self, size: int, sequence: int) -> None:
-        if len(self._joined) + size > self.limit:
+        if len(self._partial_payload) + size > self.limit:
             # The announced length is not trusted: no memory is allocated for bytes that have not arrived.
             raise ProtocolError(f"a packet of more than {self.limit} bytes", PACKET_TOO_LARGE)
         if sequence != self.sequence:
--- a/juniperreel/mysql/server.py
+++ b/juniperreel/mysql/server.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from juniperreel.mysql.auth import NATIVE, NONCE_BYTES, SHA2, UNKNOWN_USER, Credential
+from juniperreel.mysql.auth import NATIVE, NONCE_BYTES, PLACEHOLDER_CREDENTIAL, SHA2, Credential
 from juniperreel.mysql.columns import Column, encode_column
 from juniperreel.mysql.constants import (
     AUTH_MORE_DATA,
@@ -43,7 +43,7 @@
 PROTOCOL_VERSION = b"\x0a"
 MAX_LOGIN_BYTES = 16 << 10  # maximum packet size before the login
 SSL_REQUEST_BYTES = 32  # a login packet that ends before the user name
-FIRST_NONCE_PART = 8  # bytes of the first of the two parts of the nonce in the greeting
+FIRST_NONCE_BYTES = 8  # the first of the two parts of the nonce in the greeting
 FAST_AUTH_SUCCESS = bytes((AUTH_MORE_DATA, 0x03))  # caching_sha2_password verified the stored hash
 
 OFFERED = (
@@ -63,7 +63,7 @@
     | Capability.DEPRECATE_EOF
     | Capability.QUERY_ATTRIBUTES
 )
-REQUIRED = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
+REQUIRED_CAPABILITIES = Capability.PROTOCOL_41 | Capability.SECURE_CONNECTION
 
 
 class State(Enum):
@@ -185,7 +185,7 @@
             + self._version
             + b"\0"
             + self.connection_id.to_bytes(4, "little")
-            + self._nonce[:FIRST_NONCE_PART]
+            + self._nonce[:FIRST_NONCE_BYTES]
             + b"\0"
             + (self._offered & 0xFFFF).to_bytes(2, "little")
             + bytes((UTF8MB4,))
@@ -193,7 +193,7 @@
             + (self._offered >> 16).to_bytes(2, "little")
             + bytes((NONCE_BYTES + 1,))
             + bytes(10)
-            + self._nonce[FIRST_NONCE_PART:]
+            + self._nonce[FIRST_NONCE_BYTES:]
             + b"\0"
             + self._plugin.encode()
             + b"\0"
@@ -271,7 +271,7 @@
 
     def _on_login(self, cursor: Cursor) -> list[Event]:
         capabilities = cursor.integer(4)
-        if capabilities & REQUIRED != REQUIRED:
+        if capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES:
             raise ProtocolError("clients before version 4.1 are not served", *OLD_CLIENT)
         self.capabilities = capabilities & OFFERED
         cursor.integer(4)  # the client's maximum packet size, which is larger than ours
@@ -319,7 +319,7 @@
         login = self._login
         assert login is not None
         credential = self._credentials(login.user)
-        verified = (credential or UNKNOWN_USER).verify(plugin, self._nonce, response)
+        verified = (credential or PLACEHOLDER_CREDENTIAL).verify(plugin, self._nonce, response)
         if credential is None or not verified:
             # The message must not reveal whether the user or the password is wrong.
             self._send_error(*ACCESS_DENIED, f"Access denied for user '{login.user[:32]}'")
--- a/tests/mysql/test_client.py
+++ b/tests/mysql/test_client.py
@@ -41,7 +41,7 @@
 
 USERS = {"ada": Credential.from_password(b"love lace"), "bob": Credential.from_password(b"")}
 NONCE = bytes(range(1, 21))
-LATER = [Capability.DEPRECATE_EOF, Capability.SESSION_TRACK, Capability.QUERY_ATTRIBUTES]
+OPTIONAL = [Capability.DEPRECATE_EOF, Capability.SESSION_TRACK, Capability.QUERY_ATTRIBUTES]
 COLUMNS = [
     Column("i", ColumnType.LONGLONG),
     Column("d", ColumnType.DOUBLE),
@@ -74,9 +74,9 @@
                 events += self.client.receive(to_client[start : start + step])
             for start in range(0, len(to_server), step):
                 for event in self.server.receive(to_server[start : start + step]):
-                    self.take(event)
+                    self.record(event)
 
-    def take(self, event: object) -> None:
+    def record(self, event: object) -> None:
         if isinstance(event, Command):
             self.commands.append(event)
         elif isinstance(event, LoggedIn):
@@ -102,10 +102,10 @@
     assert command.payload == b"select 1"
     assert command.attributes == ({} if without == Capability.QUERY_ATTRIBUTES else {"who": "me"})
     for event in pair.server.result(COLUMNS, [ROW, [None] * 4]):
-        pair.take(event)
+        pair.record(event)
     pair.server.status = ServerStatus.AUTOCOMMIT | ServerStatus.IN_TRANSACTION
     for event in pair.server.ok(3, 9, tracked=[gtid_track("u:1")]):
-        pair.take(event)
+        pair.record(event)
     assert pair.server.error(1290, "HY000", "läuft nicht") == []
     events = pair.exchange(step)
     assert [type(e) for e in events] == [ResultStarted, Row, Row, ResultEnded, Done, Failed]
@@ -276,16 +276,16 @@
 LOGIN: Any = {"user": USER, "password": PASSWORD.decode(), "autocommit": True}
 
 
-class SingleMember:
+class SingleEndpoint:
     """A replication group with a single endpoint, a primary that speaks MySQL."""
 
     def __init__(self, shape: EndpointSettings) -> None:
         self.recorder = Recorder()
         clock = Clock()
         self.group = ReplicationGroup(0, clock, random.Random(1), self.recorder, 1.0, 1.0)
-        self.member = FakeEndpoint("m0", self.group, 0, shape, TcpNetwork(), clock, 5, self.recorder)
-        self.group.endpoints.append(self.member)
-        self.group.primary = self.member
+        self.endpoint = FakeEndpoint("m0", self.group, 0, shape, TcpNetwork(), clock, 5, self.recorder)
+        self.group.endpoints.append(self.endpoint)
+        self.group.primary = self.endpoint
 
     async def use(self, work: Callable[[Any], Any], **options: Any) -> Any:
         def run() -> Any:
@@ -294,7 +294,7 @@
                 "password": PASSWORD.decode(),
                 "autocommit": True,
             } | options
-            with pymysql.connect(host="127.0.0.1", port=self.member.mysql_port, **fields) as connection:
+            with pymysql.connect(host="127.0.0.1", port=self.endpoint.mysql_port, **fields) as connection:
                 return work(connection)
 
         with trio.fail_after(40):
@@ -302,13 +302,13 @@
 
 
 @pytest.fixture
-async def single(nursery: trio.Nursery) -> SingleMember:
-    single_member = SingleMember(
+async def single(nursery: trio.Nursery) -> SingleEndpoint:
+    single_endpoint = SingleEndpoint(
         EndpointSettings(mysql=True, synchronous_replication=False, read_us=100, write_us=100)
     )
-    await nursery.start(single_member.member.run, False)
-    single_member.member.claims_primary = True
-    return single_member
+    await nursery.start(single_endpoint.endpoint.run, False)
+    single_endpoint.endpoint.claims_primary = True
+    return single_endpoint
 
 
 def execute(connection: Any, text: str, values: Any = None) -> Any:
@@ -320,11 +320,11 @@
 INSERT = "insert into runs (runner, id) values (%s, %s)"
 
 
-async def test_transaction_of_the_fake_member_is_visible_only_after_commit(single: SingleMember) -> None:
+async def test_transaction_of_the_fake_endpoint_is_visible_only_after_commit(single: SingleEndpoint) -> None:
     def work(connection: Any) -> Any:
         other = pymysql.connect(
             host="127.0.0.1",
-            port=single.member.mysql_port,
+            port=single.endpoint.mysql_port,
             user=USER,
             password=PASSWORD.decode(),
             autocommit=True,
@@ -351,11 +351,11 @@
         return seen
 
     assert await single.use(work) == [((2,),), ((0,),), (("one",), ("three",)), ((2,),)]
-    (commit,) = single.member.replica.log
+    (commit,) = single.endpoint.replica.log
     assert len(commit.statements) == 2, "one entry of the log"
 
 
-async def test_invalid_statements_on_the_fake_member_fail_with_mysql_codes(single: SingleMember) -> None:
+async def test_invalid_statements_on_the_fake_endpoint_fail_with_mysql_codes(single: SingleEndpoint) -> None:
     def work(connection: Any) -> list[int]:
         codes = []
         for text in (
@@ -373,14 +373,14 @@
         return codes
 
     assert await single.use(work) == [1146, 1054, 1064, 1064, 1062, 1048, 1305]
-    assert single.member.replica.log == []
-    single.member.claims_primary = False
+    assert single.endpoint.replica.log == []
+    single.endpoint.claims_primary = False
     with pytest.raises(pymysql.err.MySQLError) as read_only:
         await single.use(lambda c: execute(c, INSERT, ("a", "b")))
     assert read_only.value.args[0] == 1290
 
 
-async def test_fake_member_reports_its_position_and_streams_long_results(single: SingleMember) -> None:
+async def test_fake_endpoint_reports_its_position_and_streams_long_results(single: SingleEndpoint) -> None:
     text = "select @@global.read_only, 1, epoch, start, ts from juniperreel.heartbeat order by epoch"
     ((read_only, clock, epoch, start, heartbeat),) = await single.use(lambda c: execute(c, text))
     assert (read_only, epoch, start) == (0, 1, 0)
--- a/tests/mysql/test_server.py
+++ b/tests/mysql/test_server.py
@@ -53,7 +53,7 @@
         self.seen = seen
         self._closed = closed
 
-    async def until_closed(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until the server has processed the client's COM_QUIT."""
         with trio.fail_after(SECONDS):
             await self._closed.wait()
@@ -75,7 +75,7 @@
             return await trio.to_thread.run_sync(run)
 
 
-def answer(protocol: ServerSession, event: Event) -> list[Event]:
+def respond(protocol: ServerSession, event: Event) -> list[Event]:
     if not isinstance(event, Command):
         return []
     if event.kind != CommandCode.QUERY:
@@ -116,7 +116,7 @@
                 seen.append(event)
                 if isinstance(event, ConnectionClosed):
                     closed.set()
-                todo += answer(protocol, event)
+                todo += respond(protocol, event)
 
     listeners = await nursery.start(trio.serve_tcp, serve, 0)
     return RunningServer(listeners[0].socket.getsockname()[1], seen, closed)
@@ -134,7 +134,7 @@
     login = served.seen[0]
     assert isinstance(login, LoggedIn)
     assert (login.user, login.database) == ("ada", "boards")
-    await served.until_closed()
+    await served.wait_until_closed()
 
 
 async def test_errors_counts_and_large_packets_reach_pymysql(served: RunningServer) -> None:
@@ -229,11 +229,11 @@
     for part in parts:
         todo = protocol.receive(part) + protocol.receive(encode_packets(part, 0 if logged_in else 1).data)
         while todo:
-            todo += answer_noise(protocol, todo.pop(0))
+            todo += respond_to_commands(protocol, todo.pop(0))
     assert protocol.buffered_bytes < 100_000
 
 
-def answer_noise(protocol: ServerSession, event: Event) -> list[Event]:
+def respond_to_commands(protocol: ServerSession, event: Event) -> list[Event]:
     return protocol.ok() if isinstance(event, Command) else []
 
 
