--- a/juniperreel/mysql/client.py
+++ b/juniperreel/mysql/client.py
@@ -188,11 +188,11 @@
         self._send_login()
         return []
 
-    def inside_tls(self) -> None:
+    def on_tls_established(self) -> None:
         """Continue the login after the TLS handshake, in which the server's certificate was verified."""
         if self.state is not State.TLS:
             raise ValueError("TLS was not requested")
-        self._login.on_inside_tls()
+        self._login.on_tls_established()
         self._send_login()
 
     def _send_login(self) -> None:
--- a/juniperreel/mysql/client_events.py
+++ b/juniperreel/mysql/client_events.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTls:
-    """The login continues over TLS: call `inside_tls` after the handshake."""
+    """The login continues over TLS: call `on_tls_established` after the handshake."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/juniperreel/mysql/client_login.py
+++ b/juniperreel/mysql/client_login.py
@@ -56,7 +56,7 @@
         self._options = options
         self._nonce = b""
         self._plugin = NATIVE
-        self._inside_tls = False
+        self._tls_established = False
 
     def on_greeting(self, cursor: Cursor) -> None:
         """Process the server's greeting and negotiate the capabilities."""
@@ -102,9 +102,9 @@
             + bytes(23)
         )
 
-    def on_inside_tls(self) -> None:
+    def on_tls_established(self) -> None:
         """Record that the connection is encrypted, and the server's certificate was verified."""
-        self._inside_tls = True
+        self._tls_established = True
 
     def login(self) -> bytes:
         """Return the login packet, with the response to the greeting's nonce."""
@@ -133,7 +133,7 @@
         if payload[:2] == bytes((AUTH_MORE_DATA, FAST_AUTH_SUCCESS)):
             return None
         if payload[:2] == bytes((AUTH_MORE_DATA, FULL_AUTH_REQUIRED)):
-            if not self._inside_tls:
+            if not self._tls_established:
                 # Without TLS, the password would be sent over the network in clear text.
                 raise ProtocolError("the server wants the password itself, which needs TLS")
             return self._options.password + b"\0"
--- a/juniperreel/pool/login.py
+++ b/juniperreel/pool/login.py
@@ -38,7 +38,7 @@
                     assert tls is not None
                     stream = trio.SSLStream(stream, tls, server_hostname=host)
                     await stream.do_handshake()
-                    session.inside_tls()
+                    session.on_tls_established()
         pending = session.data_to_send()
         if pending:
             await stream.send_all(pending)
