--- a/juniperreel/rpc/connection.py
+++ b/juniperreel/rpc/connection.py
@@ -136,7 +136,7 @@
         if not self.client:
             # Requests that the peer sent before it read the GOAWAY would reach a closed socket, whose reset
             # does not tell which of them were processed. So the connection stays open, and rejects each of
-            # them with REFUSED_STREAM, until the peer closes it.
+            # them with REFUSED_STREAM, until the peer closes it or LINGER_S has passed.
             with trio.move_on_after(LINGER_S):
                 await self.closed.wait()
         self._writer.finish()
--- a/juniperreel/statements/lexer.py
+++ b/juniperreel/statements/lexer.py
@@ -175,7 +175,7 @@
         return quote == "`" or (quote == '"' and self._mode.ansi_quotes)
 
     def _read_quoted(self) -> str:
-        """Return the quoted text, with doubled quotes replaced by single ones; escapes are not decoded."""
+        """Return the quoted text, each doubled quote as one quote; escapes are not decoded."""
         quote = self._text[self._offset]
         has_escapes = not self._quotes_identifier(quote) and not self._mode.no_backslash_escapes
         start = self._offset + 1
