--- a/juniperreel/mysql/client.py
+++ b/juniperreel/mysql/client.py
@@ -1,10 +1,12 @@
-"""One connection, client side: commands in, bytes to send; bytes in, events out. No I/O, no policy.
+"""Protocol state of one connection on the client. No I/O, no policy.
+
+Turns commands into bytes to send, and received bytes into events.
 
     GREETING -> (TLS) -> AUTH -> READY -> CLOSED
 
-Commands may be sent before the answers to earlier ones are there: servers read them one after another, so
-that what belongs together costs one round trip. Each event belongs to the oldest command in flight; `Done`,
-`Failed`, `StatementPrepared` and `ResultEnded`, if no more results follow, end it.
+Commands can be pipelined: servers process them in order, so that several commands cost only one round trip.
+Each event belongs to the oldest command in flight, which ends with `Done`, `Failed`, `StatementPrepared` or
+`ResultEnded`, unless more results follow.
 """
 
 from __future__ import annotations
@@ -50,12 +52,12 @@
 from juniperreel.mysql.replies import Ok, decode_err, decode_ok
 from juniperreel.mysql.values import Value
 
-MAX_COLUMNS = 4096  # what servers allow in a table
-ITERATIONS = 1  # of an execution
+MAX_COLUMNS = 4096  # the server's limit for a table
+ITERATIONS = 1  # the protocol's iteration count of an execution, which is always 1
 
 
 class State(Enum):
-    """See the module's docstring."""
+    """The states of a connection; see the module's docstring."""
 
     GREETING = "greeting"
     TLS = "tls"
@@ -65,14 +67,14 @@
 
 
 class CommandKind(Enum):
-    """What the answer to a command looks like."""
+    """The form of the response to a command."""
 
     QUERY = "query"
     PREPARE = "prepare"
 
 
 class Phase(Enum):
-    """What the next packet of the oldest command is."""
+    """The type of the next packet of the oldest command's response."""
 
     FIRST = "first"
     COLUMNS = "columns"
@@ -93,12 +95,12 @@
         tls: bool = False,
         found_rows: bool = True,
     ) -> None:
-        """`max_packet`: bytes of an answer's packet.
+        """`max_packet` is the maximum size of a response packet in bytes.
 
-        `found_rows`: of an update, count the rows it matched; else those it changed.
+        With `found_rows`, the affected rows of an update are those it matched; otherwise those it changed.
         """
         self.state = State.GREETING
-        self.in_transaction = False  # as the last answer said
+        self.in_transaction = False  # from the status flags of the last response
         self._login = ClientLogin(LoginOptions(user, password, database, max_packet, tls, found_rows))
         self._tls = tls
         self._reader = PacketReader(max_packet)
@@ -106,35 +108,35 @@
         self._sequence = 0
         self._commands: deque[CommandKind] = deque()
         self._phase = Phase.FIRST
-        self._definitions_due = 0
+        self._remaining_definitions = 0
         self._columns: list[Column] = []
         self._prepared = StatementPrepared(0, 0)
         self._prepared_columns = 0
 
     @property
     def capabilities(self) -> int:
-        """Those that both sides agreed on."""
+        """The negotiated capability flags."""
         return self._login.capabilities
 
     @property
     def connection_id(self) -> int:
-        """The connection's number at its server; 0 before the greeting."""
+        """The connection id that the server assigned; 0 before the greeting."""
         return self._login.connection_id
 
     @property
     def in_flight(self) -> int:
-        """Commands whose answers have not ended."""
+        """The number of commands whose responses are incomplete."""
         return len(self._commands)
 
     @property
     def closed(self) -> bool:
-        """Whether the connection cannot be used any more."""
+        """Whether the connection can no longer be used."""
         return self.state is State.CLOSED
 
     # Bytes.
 
     def data_to_send(self) -> bytes:
-        """Take what is to be sent."""
+        """Remove and return the bytes to send."""
         data = bytes(self._out)
         self._out = bytearray()
         return data
@@ -142,7 +144,7 @@
     def receive(self, data: bytes | bytearray) -> list[Event]:
         """Process received bytes.
 
-        Never raises: a server that breaks the protocol, or rejects the login, ends in ConnectionBroken.
+        Never raises: if the server breaks the protocol or rejects the login, ConnectionBroken is returned.
         """
         if self.closed:
             return []
@@ -155,20 +157,20 @@
                     break
                 events.extend(self._on_packet(payload))
         except ProtocolError as error:
-            events.append(self._break(str(error)))
+            events.append(self._mark_broken(str(error)))
         return events
 
-    def _break(self, reason: str, code: int = 0) -> ConnectionBroken:
+    def _mark_broken(self, reason: str, code: int = 0) -> ConnectionBroken:
         self.state = State.CLOSED
         return ConnectionBroken(reason, code)
 
     def _on_packet(self, payload: bytes) -> list[Event]:
         if self.state is State.READY:
-            return self._on_answer(payload)
+            return self._on_response(payload)
         self._sequence = self._reader.sequence
         if is_error(payload):
             err = decode_err(payload)
-            return [self._break(f"refused with {err.code}: {err.message}", err.code)]
+            return [self._mark_broken(f"refused with {err.code}: {err.message}", err.code)]
         if self.state is State.GREETING:
             return self._on_greeting(Cursor(payload))
         if self.state is State.AUTH:
@@ -186,11 +188,11 @@
         self._send_login()
         return []
 
-    def inside_tls(self) -> None:
-        """All that follows goes over TLS, to a server whose certificate was checked."""
+    def on_tls_established(self) -> None:
+        """Continue the login after the TLS handshake, in which the server's certificate was verified."""
         if self.state is not State.TLS:
-            raise ValueError("no TLS was asked for")
-        self._login.on_inside_tls()
+            raise ValueError("TLS was not requested")
+        self._login.on_tls_established()
         self._send_login()
 
     def _send_login(self) -> None:
@@ -198,14 +200,14 @@
         self.state = State.AUTH
 
     def _on_authentication(self, payload: bytes) -> list[Event]:
-        if self._login.is_finished(payload):
+        if self._login.completes_login(payload):
             self.state = State.READY
-            self._note_status(decode_ok(payload, self.capabilities))
-            self._expect_answer()
+            self._update_status(decode_ok(payload, self.capabilities))
+            self._expect_response()
             return [Ready(self.connection_id, self._login.version)]
-        answer = self._login.answer(payload)
-        if answer is not None:
-            self._send(answer)
+        reply = self._login.auth_reply(payload)
+        if reply is not None:
+            self._send(reply)
         return []
 
     def _send(self, payload: bytes) -> None:
@@ -216,17 +218,17 @@
     # Commands.
 
     def _send_command(self, kind: CommandKind | None, payload: bytes) -> None:
-        """`kind` is None for a command that has no answer. Raises ValueError before the login."""
+        """Send a command; `kind` is None if it has no response. Raises ValueError before the login."""
         if self.state is not State.READY:
             raise ValueError("not logged in")
         self._out += encode_packets(payload, 0).data
         if kind is not None:
             if not self._commands:
-                self._expect_answer()
+                self._expect_response()
             self._commands.append(kind)
 
     def query(self, text: bytes, attributes: Mapping[str, Value] | None = None) -> None:
-        """Run a statement; attributes are left out where the server does not support them."""
+        """Run a statement. The attributes are omitted if the server does not support them."""
         head = b""
         if self.capabilities & Capability.QUERY_ATTRIBUTES:
             head = encode_query_attributes(attributes or {})
@@ -239,7 +241,7 @@
     def execute(
         self, statement_id: int, values: Sequence[Value], attributes: Mapping[str, Value] | None = None
     ) -> None:
-        """Execute a prepared statement with as many values as it has parameters."""
+        """Execute a prepared statement with one value for each of its parameters."""
         named = bool(self.capabilities & Capability.QUERY_ATTRIBUTES)
         extra = dict(attributes or {}) if named else {}
         parameters = [*values, *extra.values()]
@@ -254,41 +256,41 @@
         self._send_command(CommandKind.QUERY, payload)
 
     def close_statement(self, statement_id: int) -> None:
-        """Forget a prepared statement."""
+        """Close a prepared statement."""
         payload = bytes((CommandCode.STMT_CLOSE,)) + statement_id.to_bytes(4, "little")
         self._send_command(None, payload)
 
     def reset_connection(self) -> None:
-        """Drop the connection's transaction, variables, temporary tables and prepared statements."""
+        """Reset the session: its transaction, variables, temporary tables and prepared statements."""
         self._send_command(CommandKind.QUERY, bytes((CommandCode.RESET_CONNECTION,)))
 
     def ping(self) -> None:
-        """Ask whether the server is there."""
+        """Check that the server responds."""
         self._send_command(CommandKind.QUERY, bytes((CommandCode.PING,)))
 
     def quit(self) -> None:
-        """Say that the connection is closed."""
+        """Tell the server that the connection will be closed."""
         self._send_command(None, bytes((CommandCode.QUIT,)))
         self.state = State.CLOSED
 
-    # Answers.
+    # Responses.
 
-    def _expect_answer(self) -> None:
+    def _expect_response(self) -> None:
         self._reader.sequence = 1
         self._phase = Phase.FIRST
 
     def _end_command(self) -> None:
         self._commands.popleft()
-        self._expect_answer()
+        self._expect_response()
 
-    def _note_status(self, ok: Ok) -> None:
+    def _update_status(self, ok: Ok) -> None:
         self.in_transaction = bool(ok.status & ServerStatus.IN_TRANSACTION)
 
-    def _on_answer(self, payload: bytes) -> list[Event]:
+    def _on_response(self, payload: bytes) -> list[Event]:
         if not self._commands:
-            if is_error(payload):  # says why the server ends the connection
+            if is_error(payload):  # the reason why the server closes the connection
                 err = decode_err(payload)
-                return [self._break(f"ended with {err.code}: {err.message}", err.code)]
+                return [self._mark_broken(f"ended with {err.code}: {err.message}", err.code)]
             raise ProtocolError("an answer to nothing")
         if is_error(payload) and self._phase is not Phase.COLUMNS:
             self._end_command()
@@ -310,7 +312,7 @@
             return self._on_prepared(Cursor(payload))
         if payload[0] == OK:
             ok = decode_ok(payload, self.capabilities)
-            self._note_status(ok)
+            self._update_status(ok)
             if not ok.more_results:
                 self._end_command()
             return [Done(ok)]
@@ -322,21 +324,21 @@
         columns = cursor.length()
         if cursor.remaining or not 0 < columns <= MAX_COLUMNS:
             raise ProtocolError(f"a result of {columns} columns")
-        self._definitions_due = columns
+        self._remaining_definitions = columns
         self._columns = []
         self._phase = Phase.COLUMNS
         return []
 
     @property
     def _sends_eof(self) -> bool:
-        """Whether the server ends definitions and rows with EOF packets."""
+        """Whether the server sends EOF packets after column definitions and rows."""
         return not self.capabilities & Capability.DEPRECATE_EOF
 
     def _on_column(self, payload: bytes) -> list[Event]:
-        if self._definitions_due:
+        if self._remaining_definitions:
             self._columns.append(decode_column(payload))
-            self._definitions_due -= 1
-            if self._definitions_due or self._sends_eof:
+            self._remaining_definitions -= 1
+            if self._remaining_definitions or self._sends_eof:
                 return []
         elif payload[:1] != bytes((EOF,)) or len(payload) >= MAX_EOF_BYTES:
             raise ProtocolError("definitions do not end")
@@ -348,7 +350,7 @@
         if payload[:1] != bytes((EOF,)) or len(payload) >= limit:
             return [Row(payload)]
         ok = self._decode_end(payload)
-        self._note_status(ok)
+        self._update_status(ok)
         if ok.more_results:
             self._phase = Phase.FIRST
         else:
@@ -370,22 +372,22 @@
         self._prepared_columns = cursor.integer(2)
         parameters = cursor.integer(2)
         self._prepared = StatementPrepared(statement_id, parameters)
-        self._definitions_due = parameters
+        self._remaining_definitions = parameters
         self._phase = Phase.PARAMETERS
         return [] if parameters else self._end_prepared_phase()
 
     def _on_prepared_definition(self) -> list[Event]:
-        """Skip definitions of a prepared statement; each execution sends its own."""
-        if self._definitions_due:
-            self._definitions_due -= 1
-            if self._definitions_due or self._sends_eof:
+        """Skip a definition of a prepared statement, as the result of each execution has its own."""
+        if self._remaining_definitions:
+            self._remaining_definitions -= 1
+            if self._remaining_definitions or self._sends_eof:
                 return []
         return self._end_prepared_phase()
 
     def _end_prepared_phase(self) -> list[Event]:
         if self._phase is Phase.PARAMETERS and self._prepared_columns:
             self._phase = Phase.PREPARED_COLUMNS
-            self._definitions_due = self._prepared_columns
+            self._remaining_definitions = self._prepared_columns
             return []
         self._end_command()
         return [self._prepared]
--- a/tests/rpc/test_grpcio.py
+++ b/tests/rpc/test_grpcio.py
@@ -1,4 +1,4 @@
-"""grpcio, unmodified, as the other side: the independent witness that this is gRPC."""
+"""Interoperability with unmodified grpcio, as client and as server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Echo:
-    """A service whose calls show each part of the protocol."""
+    """A service whose methods exercise the features of the protocol."""
 
     def __init__(self) -> None:
         self.cancelled = trio.Event()
@@ -46,8 +46,8 @@
         }
 
     async def unary(self, call: Call, request: bytes) -> bytes:
-        call.initial([("x-first", "1")])
-        call.trailing.extend((k, v) for k, v in call.metadata if k.startswith("x-"))
+        call.add_initial_metadata([("x-first", "1")])
+        call.trailing_metadata.extend((k, v) for k, v in call.metadata if k.startswith("x-"))
         await trio.lowlevel.checkpoint()
         return request
 
@@ -67,7 +67,7 @@
         self.tries += 1
         if self.tries < 3:
             raise RpcError(Code.UNAVAILABLE, "again", metadata=[(PUSHBACK, "10")])
-        previous = call.get("grpc-previous-rpc-attempts")
+        previous = call.metadata_value("grpc-previous-rpc-attempts")
         return str(previous).encode()
 
     async def count(self, call: Call) -> None:
@@ -80,7 +80,7 @@
 
 
 class RunningServer:
-    """Our server, and what its handlers and errors were."""
+    """Our server, with its service and the exceptions that its handlers raised."""
 
     def __init__(self, echo: Echo, port: int, errors: list[Exception], server: Server) -> None:
         self.echo = echo
@@ -190,7 +190,8 @@
     config = {"methodConfig": [{"name": [{"service": "t.Echo"}], "retryPolicy": policy}]}
 
     def use(channel: grpc.Channel) -> bytes:
-        return bytes(unary(channel, "Flaky")(b"", timeout=4))  # less than one backoff: pushback rules
+        # The time-out is shorter than one backoff, so the retries must follow the pushback.
+        return bytes(unary(channel, "Flaky")(b"", timeout=4))
 
     options = (("grpc.service_config", json.dumps(config)), ("grpc.enable_retries", 1))
     assert await served.with_channel(use, options=options) == b"2"
@@ -238,10 +239,10 @@
     assert len(await served.with_channel(use)) == sum(len(str(n)) for n in range(2000)) * 1000
 
 
-# Our channel against a grpcio server.
+# Our channel with a grpcio server.
 
 
-class Generic(grpc.GenericRpcHandler):  # type: ignore[misc]
+class GrpcioEcho(grpc.GenericRpcHandler):  # type: ignore[misc]
     def service(self, details: Any) -> Any:
         return {
             "/t.Echo/Unary": grpc.unary_unary_rpc_method_handler(self.unary),
@@ -275,8 +276,8 @@
 
 
 @pytest.fixture
-def theirs() -> Iterator[tuple[Generic, int]]:
-    handler = Generic()
+def grpcio_server() -> Iterator[tuple[GrpcioEcho, int]]:
+    handler = GrpcioEcho()
     options = (("grpc.max_receive_message_length", 8 << 20),)
     server = grpc.server(
         futures.ThreadPoolExecutor(8), handlers=(handler,), options=options, compression=grpc.Compression.Gzip
@@ -288,17 +289,17 @@
 
 
 async def test_channel_against_a_grpcio_server_serves_each_kind_of_call(
-    theirs: tuple[Generic, int], nursery: trio.Nursery
+    grpcio_server: tuple[GrpcioEcho, int], nursery: trio.Nursery
 ) -> None:
-    handler, port = theirs
+    handler, port = grpcio_server
     channel = Channel(TcpNetwork(), Clock(), "127.0.0.1", port, Limits(), random.Random(1), 5_000_000)
     await nursery.start(channel.run)
     with trio.fail_after(SECONDS):
         sent: list[tuple[str, str | bytes]] = [("x-a", "b"), ("x-c-bin", b"\x00\xff")]
         reply = await channel.unary("/t.Echo/Unary", b"hello" * 1000, sent, 5_000_000, gzip=True)
         assert reply.message == b"hello" * 1000
-        assert reply.trailing == sent
-        assert ("x-first", "1") in reply.initial
+        assert reply.trailing_metadata == sent
+        assert ("x-first", "1") in reply.initial_metadata
         body = random.Random(2).randbytes(BIG)
         assert (await channel.unary("/t.Echo/Unary", body)).message == body
         with pytest.raises(RpcError) as failed:
