--- a/juniperreel/frontends/__init__.py
+++ b/juniperreel/frontends/__init__.py
@@ -1,5 +1,5 @@
 """Client protocols of the edge: gRPC and MySQL for requests, HTTP for metrics and health.
 
-A front end parses and authenticates, submits a request to the proxy and encodes its answer. It decides
-nothing about routing, and keeps nothing between requests but what its protocol calls a session.
+A front end authenticates clients, parses requests, submits them to the proxy and encodes the answers. It
+makes no routing decisions, and keeps no state between requests except for the sessions of its protocol.
 """
--- a/juniperreel/frontends/grpc.py
+++ b/juniperreel/frontends/grpc.py
@@ -46,7 +46,7 @@
 
 
 class GrpcFrontend:
-    """Answers calls with the proxy's answers. Holds nothing between calls."""
+    """Serves Execute calls through the proxy. Keeps no state between calls."""
 
     def __init__(self, driver: RequestDriver, keyring: Keyring, clock: Clock) -> None:
         """`keyring` signs and checks causal tokens."""
@@ -68,7 +68,7 @@
     def _shed_early(self, headers: dict[str, str], message: bytes | None, arrived_us: int) -> bytes | None:
         """Return the encoded rejection of a call that would be rejected on arrival, else None.
 
-        A malformed call is not detected here: None lets the later stages say what is wrong with it.
+        Returns None for a malformed call too: the later stages report what is wrong with it.
         """
         options = self._driver.options
         try:
@@ -107,44 +107,44 @@
         return grpc_status.rejection_block(rejection)
 
     def _admit(self, call: Call, message: bytes) -> bytes | OpenRequest | None:
-        """Submit the request while the connection's reading task still holds it.
+        """Submit the request from the connection's reading task.
 
-        Calls that follow in the same read must find it counted. Returns the encoded rejection, the open
-        request, or None for a malformed call, whose own task answers with what is wrong.
+        Admission must have counted it before the next call of the same read is checked. Returns the encoded
+        rejection, the open request, or None for a malformed call, whose own task reports the error.
         """
         try:
-            work = self._parser.parse(call, message)
+            request = self._parser.parse(call, message)
         except RpcError:
             return None
-        entered = self._driver.submit(work)
-        if isinstance(entered, Rejected):
-            return self._encode_rejection(self._class_name(work), entered, work.is_retry)
-        return entered
+        submitted = self._driver.submit(request)
+        if isinstance(submitted, Rejected):
+            return self._encode_rejection(self._class_name(request), submitted, request.is_retry)
+        return submitted
 
-    def _class_name(self, work: ClientRequest) -> str:
-        return self._driver.options.router.classes[work.class_index].name
+    def _class_name(self, request: ClientRequest) -> str:
+        return self._driver.options.router.classes[request.class_index].name
 
     async def _execute(self, call: Call, message: bytes) -> bytes:
-        entry: OpenRequest | None = call.take_admission()
-        entered = entry or self._driver.submit(self._parser.parse(call, message))
-        if isinstance(entered, Rejected):
-            raise grpc_status.rejection_status(entered)
-        work = entered.request
-        class_name = self._class_name(work)
+        admitted: OpenRequest | None = call.take_admission()
+        submitted = admitted or self._driver.submit(self._parser.parse(call, message))
+        if isinstance(submitted, Rejected):
+            raise grpc_status.rejection_status(submitted)
+        request = submitted.request
+        class_name = self._class_name(request)
         metrics = self._driver.metrics
-        if work.is_retry:
+        if request.is_retry:
             metrics.repeats.labels(class_name).inc()
         started_us = self._clock.now_us()
-        answer_by_us = work.deadline_us - self._driver.options.answer_margin_us // 2
-        call.set_deadline(answer_by_us, grpc_status.deadline_status())
+        response_deadline_us = request.deadline_us - self._driver.options.answer_margin_us // 2
+        call.set_deadline(response_deadline_us, grpc_status.deadline_status())
         answer: Answer | None = None
         try:
-            with self._driver.traces.span("request", cls=class_name, group=work.group):
-                answer = await self._driver.wait_for_answer(entered)
+            with self._driver.traces.span("request", cls=class_name, group=request.group):
+                answer = await self._driver.wait_for_answer(submitted)
         finally:
-            # A call cancelled ahead of its deadline has lost its client: nothing is answered or counted.
+            # A call that is cancelled before its deadline has lost its client: there is no outcome to record.
             now_us = self._clock.now_us()
-            if answer is not None or now_us >= answer_by_us:
+            if answer is not None or now_us >= response_deadline_us:
                 record_request(metrics, class_name, answer, now_us - started_us)
         return self._encode_answer(call, answer)
 
--- a/juniperreel/frontends/grpc_request.py
+++ b/juniperreel/frontends/grpc_request.py
@@ -23,7 +23,7 @@
 
 
 class RequestParser:
-    """Turns calls into requests; every error is an RpcError INVALID_ARGUMENT that names the field."""
+    """Parses calls into requests; every error is an RpcError INVALID_ARGUMENT that names the field."""
 
     def __init__(self, options: DriverOptions, keyring: Keyring) -> None:
         """`keyring` checks causal tokens."""
@@ -31,8 +31,8 @@
         self._keyring = keyring
         self.class_indices = {settings.name: i for i, settings in enumerate(options.router.classes)}
         self.tenant_indices = {tenant.name: i for i, tenant in enumerate(options.router.tenants)}
-        # Endpoints that speak MySQL would run any statement, on a connection that others use next.
-        self._reader = StatementClassifier() if options.mysql is not None else None
+        # Endpoints that speak MySQL run any statement, on connections that are reused for other requests.
+        self._statement_classifier = StatementClassifier() if options.mysql is not None else None
 
     def parse(self, call: Call, message: bytes) -> ClientRequest:
         """The request of a call. Raises RpcError for the first field that is wrong."""
@@ -83,9 +83,9 @@
 
     def _check_statement(self, request: records_pb2.ExecuteRequest, class_index: int) -> None:
         settings = self._options.router.classes[class_index]
-        if self._reader is not None:
+        if self._statement_classifier is not None:
             writes = settings.consistency is Consistency.WRITE
-            mismatch = class_mismatch(self._reader.classify(request.statement), writes)
+            mismatch = class_mismatch(self._statement_classifier.classify(request.statement), writes)
             if mismatch:
                 raise invalid_argument("statement", mismatch)
         if settings.idempotency is Idempotency.KEYED and not request.idempotency_key:
@@ -100,7 +100,7 @@
     def _merge_tokens(self, call: Call, message_token: bytes) -> Token:
         """Join the tokens of the message and of the metadata.
 
-        An empty field is no token; an empty header is an error, since somebody meant to send one.
+        An empty field means no token; an empty header is an error, since its client meant to send a token.
         """
         header_tokens = call.all(TOKEN_HEADER)
         if len(header_tokens) > MAX_TOKENS:
@@ -120,14 +120,17 @@
             raise invalid_argument(field, str(error)) from None
 
 
-def class_mismatch(reading: Classification, writes: bool) -> str:
-    """Why a statement cannot run in a class that reads, or `writes`; empty if it can."""
-    dependencies = reading.dependencies - CONNECTION_INDEPENDENT
+def class_mismatch(classification: Classification, writes: bool) -> str:
+    """Why a statement cannot run in a class of reads, or of writes if `writes`; empty if it can."""
+    dependencies = classification.dependencies - CONNECTION_INDEPENDENT
     if dependencies:
         return f"depends on its connection ({', '.join(sorted(dependencies))})"
-    if reading.kind is StatementKind.READ or (writes and reading.kind is StatementKind.WRITE):
+    if classification.kind is StatementKind.READ or (writes and classification.kind is StatementKind.WRITE):
         return ""
-    return f"{reading.kind.value} in a class that {'writes' if writes else 'reads'}: {reading.reason}"
+    return (
+        f"{classification.kind.value} in a class that {'writes' if writes else 'reads'}: "
+        f"{classification.reason}"
+    )
 
 
 def is_retry(call: Call) -> bool:
--- a/juniperreel/frontends/grpc_status.py
+++ b/juniperreel/frontends/grpc_status.py
@@ -1,4 +1,4 @@
-"""The one table from the proxy's answers to gRPC statuses; docs/operate/edge.md shows it to operators.
+"""Maps the proxy's answers to gRPC statuses; docs/operate/edge.md has the same table for operators.
 
 | answer | status | details | pushback |
 |---|---|---|---|
@@ -32,10 +32,10 @@
 
 
 def rejection_block(answer: Rejected) -> bytes:
-    """As `rejection_status`, in encoded headers that are cached.
+    """Return the status of `rejection_status` as encoded headers, which are cached.
 
-    The retry-after is rounded down to a 32nd of its size, so that a flood of rejections meets few distinct
-    values.
+    The retry-after is rounded down to its five most significant bits, so that a flood of rejections has few
+    distinct values and hits the cache.
     """
     retry_after_ms = _milliseconds_rounded_up(answer.retry_after_us)
     step = max(1, 1 << max(retry_after_ms.bit_length() - RETRY_AFTER_BITS, 0))
--- a/juniperreel/frontends/http.py
+++ b/juniperreel/frontends/http.py
@@ -1,4 +1,4 @@
-"""Metrics and health over HTTP/1.1, on a port of their own: GET /metrics, /healthz and /readyz."""
+"""Metrics and health over HTTP/1.1 on a separate port: GET /metrics, /healthz and /readyz."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from juniperreel.net.accept import serve_connections
 
 READ_BYTES = 4096
-REQUEST_TIMEOUT_S = 10.0  # for a whole exchange, so that a slow client cannot hold its connection
+REQUEST_TIMEOUT_S = 10.0  # for a request and its response, so that slow clients cannot hold connections
 MAX_CONNECTIONS = 64
 MAX_REQUEST_BYTES = 16 << 10  # of the request line and headers
 PLAIN_TEXT = "text/plain; charset=utf-8"
@@ -20,7 +20,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """What a request is answered with."""
+    """A response, before it is encoded."""
 
     status: int
     body: bytes
@@ -28,7 +28,7 @@
 
 
 class HttpFrontend:
-    """Answers one request on each connection, then closes it, which is enough for scrapers and probes."""
+    """Serves one request per connection, then closes it, which is enough for scrapers and probes."""
 
     def __init__(self, metrics: Callable[[], bytes], ready: Callable[[], bool]) -> None:
         """`metrics` renders the exposition text; `ready` tells whether the edge serves requests."""
@@ -53,7 +53,7 @@
             with trio.move_on_after(REQUEST_TIMEOUT_S):
                 await self._exchange(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError):
-            pass  # the client disconnected or does not speak HTTP: nobody is left to answer
+            pass  # the client disconnected or does not speak HTTP, so no response can be sent
         finally:
             self._connections -= 1
             await trio.aclose_forcefully(stream)
--- a/juniperreel/frontends/outcome.py
+++ b/juniperreel/frontends/outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended, as the request metrics count it for every client protocol."""
+"""Outcomes of requests as the request metrics count them, for all client protocols."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def outcome_of(answer: Answer | None) -> RequestOutcome:
-    """Classify the proxy's answer; None is a request that passed its deadline."""
+    """Classify the proxy's answer; None stands for a request whose deadline passed."""
     match answer:
         case Served():
             return RequestOutcome("served", "")
@@ -32,7 +32,7 @@
 
 
 def record_request(metrics: Metrics, class_name: str, answer: Answer | None, duration_us: int) -> None:
-    """Count a finished request and observe how long it took."""
+    """Count a finished request and record its duration."""
     outcome, reason = outcome_of(answer)
     metrics.request(class_name, outcome, reason).inc()
     metrics.took(class_name, outcome).observe(duration_us / US)
