--- a/juniperreel/frontends/mysql/classification.py
+++ b/juniperreel/frontends/mysql/classification.py
@@ -1,7 +1,8 @@
-"""Which class and tenant a statement has: the settings' rules in their order, else the two default classes.
+"""Assigns statements to request classes and tenants by the rules of the settings.
 
-A digest names all statements that differ in their values only: its tokens without comments, with every string
-and number, and every list of them, as one mark.
+The first rule that matches applies; without one, a statement has the default class of reads or of writes.
+Statements that differ only in their values have the same digest: a hash of the tokens without comments, with
+a placeholder for each string, number and list of them.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementTraits:
-    """What the rules look at."""
+    """The properties of a statement that rules match."""
 
     writes: bool
     user: str
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """A rule of the settings: a condition that is None fits anything, no tenant means the default one."""
+    """A rule of the settings. A condition of None matches anything; a tenant of None is the default one."""
 
     writes: bool
     user: str | None
@@ -52,7 +53,7 @@
     tenant_index: int | None
 
     def matches(self, statement: StatementTraits) -> bool:
-        """Whether every condition fits."""
+        """Whether every condition matches."""
         return (
             self.writes == statement.writes
             and self.user in (None, statement.user)
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassifier:
-    """Finds the first rule that matches; `read_class` and `write_class` are for statements without one."""
+    """Finds the first rule that matches; `read_class` and `write_class` apply where none does."""
 
     rules: Sequence[ClassRule]
     read_class: int
@@ -73,7 +74,7 @@
 
     @property
     def uses_digests(self) -> bool:
-        """Whether any rule has a digest; else it need not be computed."""
+        """Whether any rule matches digests; otherwise they need not be computed."""
         return any(rule.digest is not None for rule in self.rules)
 
     def classify(self, statement: StatementTraits) -> RequestTarget:
@@ -87,7 +88,7 @@
 
 
 def hint_of(text: bytes) -> str:
-    """The hint in a statement's comment; empty where there is none."""
+    """The hint in a comment of a statement; empty if it has none."""
     match = HINT_COMMENT.search(text)
     return match[1].decode() if match is not None else ""
 
@@ -95,10 +96,12 @@
 def statement_digest(text: bytes, mode: LexerMode | None = None) -> str:
     """The digest in 16 hexadecimal digits; empty for a text that cannot be tokenized."""
     try:
-        found = tokenize(text, mode or LexerMode())
+        tokens = tokenize(text, mode or LexerMode())
     except AmbiguousTextError:
         return ""
-    marks = ["?" if token.type in (TokenType.STRING, TokenType.NUMBER) else token.text for token in found]
-    while marks and marks[-1] == ";":
-        marks.pop()
-    return xxhash.xxh3_64_hexdigest(VALUE_LIST.sub("( ? )", " ".join(marks)).encode())
+    normalized = [
+        "?" if token.type in (TokenType.STRING, TokenType.NUMBER) else token.text for token in tokens
+    ]
+    while normalized and normalized[-1] == ";":
+        normalized.pop()
+    return xxhash.xxh3_64_hexdigest(VALUE_LIST.sub("( ? )", " ".join(normalized)).encode())
--- a/juniperreel/frontends/mysql/client_session.py
+++ b/juniperreel/frontends/mysql/client_session.py
@@ -1,4 +1,4 @@
-"""What a client's session keeps between statements, apart from its transaction."""
+"""The state of a client's session between statements, except for its transaction."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 class SessionContext:
     """A connection's user, schema, session variables and causal token.
 
-    The token joins the position of every answer and is presented with every request, so that a client sees
-    what it has seen before, whichever endpoint answers.
+    The token is joined with the position of every answer and sent with every request, so that reads are
+    monotonic and see the session's own writes at any endpoint.
     """
 
     def __init__(self, keyring: Keyring) -> None:
@@ -37,12 +37,12 @@
         self._requests = 0
 
     def reset(self) -> None:
-        """Start a new session. The token stays, since the client keeps what it has seen."""
+        """Start a new session. The token stays: the client must not read older data than it has seen."""
         self.parse_mode = LexerMode()
         self.variables = INITIAL_SESSION_STATE
 
     def next_idempotency_key(self) -> str:
-        """A key for one request, unique among all sessions."""
+        """A key for one request, unique across sessions."""
         self._requests += 1
         return f"{self.name}-{self._requests}"
 
@@ -56,7 +56,7 @@
             raise MysqlError(INVALID_TOKEN, str(error)) from error
 
     def encoded_token(self) -> str:
-        """The token as clients carry it."""
+        """The token in the text form that clients send."""
         return self._keyring.encode_text(self.token)
 
     def changed_token_tracking(self) -> list[tuple[int, bytes]]:
@@ -79,7 +79,7 @@
         return variables
 
     def apply_variables(self, variables: SessionState) -> None:
-        """An endpoint has accepted the variables: later statements are parsed under them."""
+        """Adopt variables that an endpoint has accepted: later statements are parsed under them."""
         self.variables = variables
         modes = variables.variables.get("sql_mode", "").strip("'").upper().split(",")
         self.parse_mode = LexerMode(
--- a/juniperreel/frontends/mysql/commands.py
+++ b/juniperreel/frontends/mysql/commands.py
@@ -1,4 +1,4 @@
-"""The commands of one connection: a method for each that the front end supports."""
+"""Dispatches the commands of one connection, with a method for each that is supported."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         self._session.schema = login.database
 
     def close(self) -> None:
-        """The client has disconnected: roll back what is open."""
+        """Roll back the open transaction when the client disconnects."""
         self.scope.reset()
 
     async def handle(self, command: Command) -> list[Event]:
@@ -121,22 +121,22 @@
         events = self._queries.answer(text)
         if events is not None:
             return events
-        reading = self._context.reader.classify(text, self._session.parse_mode)
-        return await self._executor.execute(ClientStatement(text, reading, command.attributes))
+        classification = self._context.statement_classifier.classify(text, self._session.parse_mode)
+        return await self._executor.execute(ClientStatement(text, classification, command.attributes))
 
     def _prepare(self, text: bytes) -> list[Event]:
-        reading = self._context.reader.classify(text, self._session.parse_mode)
+        classification = self._context.statement_classifier.classify(text, self._session.parse_mode)
         autocommit_scope = TransactionScope(self._context.supports_transactions, self._context.options.schema)
-        plan = autocommit_scope.plan(reading)
-        depends_on_session = reading.dependencies and reading.kind in (
+        plan = autocommit_scope.plan(classification)
+        depends_on_session = classification.dependencies and classification.kind in (
             StatementKind.READ,
             StatementKind.WRITE,
             StatementKind.LOCKING_READ,
         )
-        if plan.action is Action.REJECT and not depends_on_session and reading.session_command is None:
+        if plan.action is Action.REJECT and not depends_on_session and classification.session_command is None:
             raise MysqlError(plan.error_code, plan.error_message)
         statement = self._prepared.prepare(
-            text, reading, self._session.parse_mode, self._session.variables.parse_context
+            text, classification, self._session.parse_mode, self._session.variables.parse_context
         )
         return self._protocol.prepared(statement.id, statement.parameters)
 
@@ -144,10 +144,10 @@
         execution = self._prepared.execute(payload, self._protocol.supports_attributes)
         statement = execution.statement
         if statement.parse_settings != self._session.variables.parse_context:
-            # Danger: under another sql_mode the same text may mean something else.
+            # Under another sql_mode the same text may have another meaning.
             raise PreparedStatementError(NEEDS_REPREPARE, "Prepared statement needs to be re-prepared")
         return await self._executor.execute(
             ClientStatement(
-                statement.text, statement.reading, execution.attributes, execution.values, binary=True
+                statement.text, statement.classification, execution.attributes, execution.values, binary=True
             )
         )
--- a/juniperreel/frontends/mysql/connection.py
+++ b/juniperreel/frontends/mysql/connection.py
@@ -1,4 +1,4 @@
-"""One MySQL client's connection: login, reading ahead of the command in flight, and writing."""
+"""One MySQL client's connection: login, pipelined commands, and writing."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 READ_BYTES = 64 << 10
 LOGIN_TIMEOUT_S = 10.0
 SEND_TIMEOUT_S = 30.0  # for a response, or a part of one; a client that does not read is disconnected
-MAX_PIPELINED_BYTES = 1 << 20  # of commands that wait behind the one in flight
+MAX_PIPELINED_BYTES = 1 << 20  # of commands queued behind the one in flight
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to, and asks of, its front end."""
+    """The interface through which a connection uses its front end."""
 
     @property
     def draining(self) -> bool:
-        """Whether the edge shuts down: connections begin nothing more."""
+        """Whether the edge is shutting down, and connections start nothing new."""
         ...
 
     def on_command_started(self) -> None:
-        """A command has arrived."""
+        """Report that a command has arrived."""
         ...
 
     def on_command_finished(self) -> None:
-        """All commands that were read are answered, and the answers have left."""
+        """Report that all received commands are answered and the answers sent."""
         ...
 
     def statistics(self) -> str:
@@ -63,18 +63,18 @@
         self._options = context.options
         self._protocol = protocol
         self._stream = stream
-        self._transport = stream  # also where `_stream` is a TLS stream
+        self._transport = stream  # the socket, also below a TLS stream
         self._commands = CommandHandler(context, protocol, self._flush, owner.statistics)
-        self._is_busy = False  # from a command's arrival until its answer has left
-        self._unprocessed_reads = 0  # received, and not yet looked at
+        self._is_busy = False  # from a command's arrival until its answer is sent
+        self._unprocessed_reads = 0  # chunks received and not yet parsed
 
     async def run(self) -> None:
         """Serve the client until either side ends the connection.
 
-        Reads while a command is in flight, so that it is cancelled when the client disconnects.
+        Keeps reading while a command is in flight, so that it is cancelled when the client disconnects.
         """
         events: list[Event] | None = None
-        # Danger: a client that connects and sends nothing would hold a descriptor for ever.
+        # Without a time-out a client that sends nothing would hold a descriptor indefinitely.
         with trio.move_on_after(LOGIN_TIMEOUT_S):
             events = await self._login()
         if events is None:
@@ -105,10 +105,10 @@
             self._unprocessed_reads -= 1
 
     @property
-    def engaged(self) -> bool:
-        """Whether a graceful shutdown waits for it.
+    def blocks_drain(self) -> bool:
+        """Whether a graceful shutdown has to wait for this connection.
 
-        A command is in flight, or its answer has not left, or others that have arrived wait behind it, or a
+        That is so while a command is in flight, an answer is unsent, received commands are queued, or a
         transaction is open.
         """
         transaction = self._commands.scope.transaction
@@ -126,7 +126,7 @@
     async def _login(self) -> list[Event] | None:
         """Run the connection phase.
 
-        Returns the login and the commands that came with it; None where the client was rejected or left.
+        Returns the login and the commands that came with it; None if the client was rejected or disconnected.
         """
         while True:
             await self._stream.send_all(self._protocol.data_to_send())
@@ -144,13 +144,13 @@
 
     async def _start_tls(self, start_tls: StartTls) -> None:
         assert self._options.tls is not None
-        inner = PrefixedStream(self._stream, start_tls.rest)
-        secure = trio.SSLStream(inner, self._options.tls, server_side=True)
-        await secure.do_handshake()
-        self._stream = secure
+        prefixed = PrefixedStream(self._stream, start_tls.rest)
+        tls_stream = trio.SSLStream(prefixed, self._options.tls, server_side=True)
+        await tls_stream.do_handshake()
+        self._stream = tls_stream
 
     async def _read(self, send: trio.MemorySendChannel[bytes], scope: trio.CancelScope) -> None:
-        """Pass on what is received; cancel `scope` when the client disconnects or sends too far ahead."""
+        """Pass on received bytes; cancel `scope` when the client disconnects or pipelines too much."""
         while True:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
--- a/juniperreel/frontends/mysql/context.py
+++ b/juniperreel/frontends/mysql/context.py
@@ -1,4 +1,4 @@
-"""What all connections of the MySQL front end share."""
+"""Settings and collaborators that all connections of the MySQL front end share."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
     max_connections: int
     max_packet: int  # bytes
     tls: ssl.SSLContext | None = None
-    schema: str = ""  # that of the endpoints; empty where they have none
-    login_plugin: str = SHA2  # the one that is offered first; clients may ask for the other
+    schema: str = ""  # of the endpoints; empty if they have none
+    login_plugin: str = SHA2  # the one offered first; clients may ask for the other
 
 
 @dataclass(frozen=True, slots=True)
 class FrontendContext:
-    """The collaborators of a connection, none of which it owns."""
+    """The shared collaborators of a connection, which owns none of them."""
 
     driver: RequestDriver
     keyring: Keyring
     clock: Clock
     options: MysqlOptions
-    reader: StatementClassifier
+    statement_classifier: StatementClassifier
 
     @property
     def supports_transactions(self) -> bool:
--- a/juniperreel/frontends/mysql/conversion.py
+++ b/juniperreel/frontends/mysql/conversion.py
@@ -1,4 +1,4 @@
-"""Converts values and results between MySQL's columns and rows and the ResultSet that gRPC carries."""
+"""Converts values and results between MySQL's columns and rows and the ResultSet message of gRPC."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def to_table(result_set: values_pb2.ResultSet) -> Table:
-    """The columns and rows of a ResultSet. A column has the type of its values, text where they differ."""
+    """The columns and rows of a ResultSet. A column has the type of its values, or text if they differ."""
     rows: list[list[Value]] = []
     kinds_by_column: list[set[str]] = [set() for _ in result_set.columns]
     for row in result_set.rows:
@@ -52,7 +52,7 @@
 
 
 def to_grpc_value(value: Value) -> values_pb2.Value:
-    """A value as gRPC carries it."""
+    """Convert a value to its gRPC message."""
     match value:
         case None:
             return values_pb2.Value(null=True)
@@ -65,7 +65,7 @@
         case int() if -(1 << 63) <= value < 1 << 63:
             return values_pb2.Value(integer=value)
         case int():
-            return values_pb2.Value(text=str(value))  # an unsigned one beyond what the message holds
+            return values_pb2.Value(text=str(value))  # an unsigned integer beyond the message's int64
 
 
 def to_result_set(result: Result) -> values_pb2.ResultSet:
--- a/juniperreel/frontends/mysql/errors.py
+++ b/juniperreel/frontends/mysql/errors.py
@@ -1,4 +1,4 @@
-"""The one table of errors that MySQL clients see; docs/operate/mysql.md shows it to operators."""
+"""Errors that MySQL clients receive; docs/operate/mysql.md has the same table for operators."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 TOO_LONG = ErrorCode(1153, "08S01")
 REJECTED = ErrorCode(1205, "HY000")  # nothing took effect; may be retried
 WRONG_ARGUMENTS = ErrorCode(1210, "HY000")
-TRANSACTION_ROLLED_BACK = ErrorCode(1213, "40001")  # known to clients as a reason to begin again
+TRANSACTION_ROLLED_BACK = ErrorCode(1213, "40001")  # clients know it as a reason to retry the transaction
 INVALID_TOKEN = ErrorCode(1231, "42000")
 NOT_SUPPORTED = ErrorCode(1235, "42000")
 UNKNOWN_STATEMENT = ErrorCode(1243, "HY000")
@@ -46,12 +46,12 @@
     message: str
 
     def write_to(self, protocol: ServerSession) -> list[Event]:
-        """Answer the current command with it; returns the events of commands that arrived meanwhile."""
+        """Answer the current command with this error; returns events of commands that arrived meanwhile."""
         return protocol.error(self.code.number, self.code.sqlstate, self.message)
 
 
 class MysqlError(Exception):
-    """A command that is answered with `response`; the connection goes on."""
+    """Raised for a command that is answered with `response`; the connection stays open."""
 
     def __init__(self, code: ErrorCode, message: str) -> None:
         super().__init__(message)
@@ -59,7 +59,7 @@
 
     @property
     def code(self) -> ErrorCode:
-        """Of the response."""
+        """The error code of the response."""
         return self.response.code
 
 
--- a/juniperreel/frontends/mysql/execution.py
+++ b/juniperreel/frontends/mysql/execution.py
@@ -1,4 +1,4 @@
-"""Carries out statements: the scope says what to do with each, the proxy or the open transaction does it."""
+"""Executes statements: the transaction scope plans each, and the proxy or the open transaction runs it."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientStatement:
-    """A statement as the client sent it: as text, or as an execution of a prepared one."""
+    """A statement from a client: a text, or an execution of a prepared statement."""
 
     text: bytes
-    reading: Classification
+    classification: Classification
     attributes: Mapping[str, Value]
     values: Sequence[Value] = ()
-    binary: bool = False  # rows are wanted in the binary protocol
+    binary: bool = False  # whether the client expects rows in the binary protocol
 
     def query(self, plan: Plan) -> Statement:
-        """What endpoints run for it."""
+        """The statement that is sent to an endpoint."""
         if plan.query is not None:
             return Statement(plan.query)
         return Statement(self.text, self.values, self.binary)
@@ -68,7 +68,7 @@
         scope: TransactionScope,
         writer: ResultWriter,
     ) -> None:
-        """All but `context` are the connection's own."""
+        """All arguments but `context` belong to the connection."""
         self._protocol = protocol
         self._session = session
         self._scope = scope
@@ -85,7 +85,7 @@
         comment_token = match[1].decode() if match is not None else None
         merge_presented_tokens(self._session, statement.attributes, comment_token)
         try:
-            return await self._carry_out(statement)
+            return await self._execute_plan(statement)
         except MysqlError:
             self._update_status()
             raise
@@ -93,10 +93,10 @@
     def _update_status(self) -> None:
         self._protocol.status = self._scope.status()
 
-    async def _carry_out(self, statement: ClientStatement) -> list[Event]:
+    async def _execute_plan(self, statement: ClientStatement) -> list[Event]:
         scope = self._scope
         while True:
-            plan = scope.plan(statement.reading)
+            plan = scope.plan(statement.classification)
             if scope.transaction is not None and (scope.assigns_variables or plan.taints_connection):
                 scope.transaction.tainted = True
             query = statement.query(plan)
@@ -112,23 +112,23 @@
                     return await self._run_in_transaction(query, plan)
                 case Action.END_TRANSACTION:
                     result = await self._end_transaction(query, plan)
-                    control = statement.reading.session_command
-                    if control is None or control.verb is not SessionVerb.BEGIN:
+                    command = statement.classification.session_command
+                    if command is None or command.verb is not SessionVerb.BEGIN:
                         return await self._writer.write(result, 0)
-                    # The commit that BEGIN implies is done; the statement itself is planned next.
+                    # BEGIN has committed the open transaction; now it is planned again, to begin another.
                 case Action.SINGLE_REQUEST | Action.BEGIN_TRANSACTION:
                     return await self._submit(query, statement, plan)
 
     # In the open transaction.
 
     async def _run_in_transaction(self, query: Statement, plan: Plan) -> list[Event]:
-        until_us = self._transaction.statement_deadline_us()
+        deadline_us = self._transaction.statement_deadline_us()
         result = await self._transaction.run(query, plan)
         self._update_status()
-        return await self._writer.write(result, until_us)
+        return await self._writer.write(result, deadline_us)
 
     async def _assign_in_transaction(self, query: Statement, plan: Plan) -> list[Event]:
-        """Set session variables, which a rollback does not undo, here as on a server."""
+        """Set session variables, which a rollback does not undo, as on a MySQL server."""
         variables = self._session.with_assignments(plan.assignments)
         transaction = self._scope.transaction
         assert transaction is not None
@@ -147,15 +147,15 @@
     # As requests to the proxy.
 
     async def _submit(self, query: Statement, statement: ClientStatement, plan: Plan) -> list[Event]:
-        """Submit a request of its own, or the one that begins a transaction."""
+        """Submit a statement as a single request, or as the request that begins a transaction."""
         variables = self._session.with_assignments(plan.assignments)
         try:
             group = self._submitter.find_group(query.text, statement.attributes)
         except InvalidGroupError as error:
             return error.response.write_to(self._protocol)
-        request = Request(query, statement.reading, plan, statement.attributes, group, variables)
+        request = Request(query, statement.classification, plan, statement.attributes, group, variables)
         submission = await self._submitter.submit(request, self._scope.last_insert_id)
-        self._transaction.time_limit_us = submission.time_limit_us
+        self._transaction.statement_timeout_us = submission.statement_timeout_us
         if plan.assignments and isinstance(submission.answer, Served):
             self._session.apply_variables(variables)
         return await self._write_answer(submission, request)
@@ -165,13 +165,13 @@
         begins = request.plan.action is Action.BEGIN_TRANSACTION
         match answer:
             case Served():
-                return await self._write_served(answer, request, submission.answer_by_us)
+                return await self._write_served(answer, request, submission.response_deadline_us)
             case StatementFailed():
                 return self._write_statement_error(answer, begins)
             case Rejected():
                 return rejection_response(answer).write_to(self._protocol)
             case Failed() if begins:
-                # Nothing was committed, whatever ran: the endpoint rolls the transaction back.
+                # The endpoint rolls the transaction back, so nothing was committed even if the statement ran.
                 self._scope.on_transaction_ended()
                 return rolled_back_response(answer.reason).write_to(self._protocol)
             case Failed():
@@ -182,11 +182,11 @@
             case None:
                 return DEADLINE_RESPONSE.write_to(self._protocol)
 
-    async def _write_served(self, answer: Served, request: Request, answer_by_us: int) -> list[Event]:
+    async def _write_served(self, answer: Served, request: Request, response_deadline_us: int) -> list[Event]:
         plan = request.plan
         result = answer.result
         begins = plan.action is Action.BEGIN_TRANSACTION
-        self._session.token = answer.token  # with all that was presented, and corrected after failovers
+        self._session.token = answer.token  # includes the presented tokens, and is corrected after failovers
         if begins:
             self._scope.on_transaction_opened(answer.transaction)
             if self._scope.transaction is not None and plan.taints_connection:
@@ -198,7 +198,7 @@
         if plan.hides_result:
             return self._protocol.ok()
         if isinstance(result, Result):
-            return await self._writer.write(result, answer_by_us)
+            return await self._writer.write(result, response_deadline_us)
         return self._writer.write_result_set(result, request.statement.binary)
 
     def _write_statement_error(self, answer: StatementFailed, begins: bool) -> list[Event]:
--- a/juniperreel/frontends/mysql/frontend.py
+++ b/juniperreel/frontends/mysql/frontend.py
@@ -1,4 +1,4 @@
-"""The MySQL front end: accepts connections, and lets them finish what is in flight on shutdown."""
+"""The MySQL front end: accepts connections and drains them on shutdown."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from juniperreel.statements import StatementClassifier
 
 DRAIN_POLL_S = 0.05  # between checks for transactions that endpoints may have ended
-REJECTION_TIMEOUT_S = 1  # for a rejected client to read why
-MIN_UPTIME_S = 1e-3  # keeps the query rate finite
+REJECTION_TIMEOUT_S = 1  # for sending the error to a rejected client
+MIN_UPTIME_S = 1e-3  # avoids a division by zero in the query rate
 
 
 class MysqlFrontend:
-    """Holds the connections, and nothing of their statements."""
+    """Owns the connections, but no state of their statements."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
 
     @property
     def connections(self) -> int:
-        """How many are open, those being rejected included."""
+        """The number of open connections, including those that are being rejected."""
         return len(self._connections)
 
     @property
@@ -57,7 +57,7 @@
         return self._draining
 
     def statistics(self) -> str:
-        """The text of COM_STATISTICS, which clients parse; what is not counted here is 0."""
+        """The text of COM_STATISTICS, which clients parse; figures that the edge does not count are 0."""
         uptime_s = max((self._context.clock.now_us() - self._started_us) / US, MIN_UPTIME_S)
         return (
             f"Uptime: {uptime_s:.0f}  Threads: {self.connections}  Questions: {self._commands_started}  "
@@ -66,9 +66,9 @@
         )
 
     async def drain(self) -> None:
-        """Begin nothing more; return when no connection has a command in flight or a transaction open."""
+        """Start nothing new; return when no connection has a command in flight or a transaction open."""
         self._draining = True
-        while any(connection.engaged for connection in self._connections):
+        while any(connection.blocks_drain for connection in self._connections):
             self._command_finished = trio.Event()
             with trio.move_on_after(DRAIN_POLL_S):
                 await self._command_finished.wait()
@@ -108,10 +108,10 @@
                 protocol.start()
                 await connection.run()
         except* (trio.BrokenResourceError, trio.ClosedResourceError, trio.TooSlowError):
-            pass  # the client disconnected, or does not read; its command in flight is cancelled
-        except* Exception as group:
-            # Danger: a defect met on one connection must not end the edge and all others with it.
-            self._context.driver.log.exception("MySQL connection failed", exc_info=group)
+            pass  # the client disconnected or does not read; its command in flight has been cancelled
+        except* Exception as errors:
+            # An unexpected exception on one connection must not end the edge and its other connections.
+            self._context.driver.log.exception("MySQL connection failed", exc_info=errors)
         finally:
             self._connections.discard(connection)
             await trio.aclose_forcefully(stream)
--- a/juniperreel/frontends/mysql/open_transaction.py
+++ b/juniperreel/frontends/mysql/open_transaction.py
@@ -37,17 +37,17 @@
 
 
 class OpenTransaction:
-    """The open transaction of a scope. Its methods raise MysqlError, and note in the scope what it ends."""
+    """The open transaction of a scope. Methods raise MysqlError, and update the scope if it ended."""
 
     def __init__(self, scope: TransactionScope, clock: Clock) -> None:
         """`scope` owns the transaction."""
         self._scope = scope
         self._clock = clock
-        self.time_limit_us = 0  # of each statement: that of the class which the first one had
+        self.statement_timeout_us = 0  # of the request class of the first statement; applies to each one
 
     def statement_deadline_us(self) -> int:
-        """When a statement that starts now must have been answered."""
-        return self._clock.now_us() + self.time_limit_us
+        """The deadline of a statement that starts now."""
+        return self._clock.now_us() + self.statement_timeout_us
 
     async def run(self, statement: Statement, plan: Plan) -> Result:
         """Run a statement within the transaction."""
@@ -59,10 +59,10 @@
         return result
 
     async def finish(self, statement: Statement, plan: Plan) -> TransactionResult:
-        """Commit or roll back, which may be implied by the statement."""
-        timed_out = COMMIT_TIMED_OUT if plan.may_commit else STATEMENT_TIMED_OUT
+        """Commit or roll back, explicitly or by a statement that implies it."""
+        timeout_response = COMMIT_TIMED_OUT if plan.may_commit else STATEMENT_TIMED_OUT
         finishing = self._transaction().finish(statement, plan.may_commit)
-        committed = await self._await_answer(finishing, timed_out)
+        committed = await self._await_answer(finishing, timeout_response)
         self._scope.on_transaction_ended()
         return committed
 
@@ -76,13 +76,13 @@
         await self._await_answer(self._transaction().run(Statement(text)), INSERT_ID_TIMED_OUT)
 
     async def _await_answer(
-        self, answer: Awaitable[AnswerT], timed_out: ErrorResponse, may_commit: bool = False
+        self, answer: Awaitable[AnswerT], timeout_response: ErrorResponse, may_commit: bool = False
     ) -> AnswerT:
         """Await the endpoint's answer until the statement's deadline.
 
-        `may_commit`: the statement may have committed even where the endpoint lost the transaction.
-        Raises MysqlError: the endpoint's own error, which leaves the transaction open; else `timed_out`, or
-        what is known of the effect, after which the transaction is over.
+        `may_commit`: the statement may have committed even if the endpoint lost the transaction.
+        Raises MysqlError with the endpoint's own error, which leaves the transaction open; otherwise with
+        `timeout_response` or an error that states the effect, and the transaction has ended.
         """
         scope = self._scope
         try:
@@ -104,4 +104,4 @@
             scope.on_transaction_ended()
             raise MysqlError(TOO_LONG, str(error)) from error
         scope.on_transaction_ended()
-        raise MysqlError(timed_out.code, timed_out.message)
+        raise MysqlError(timeout_response.code, timeout_response.message)
--- a/juniperreel/frontends/mysql/prefixed_stream.py
+++ b/juniperreel/frontends/mysql/prefixed_stream.py
@@ -1,4 +1,4 @@
-"""A stream of which some bytes were read before its reader was known."""
+"""A stream that returns bytes which were read ahead, before those of the underlying stream."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class PrefixedStream(trio.abc.Stream):
-    """Yields `prefix` ahead of what `stream` receives; everything else is the stream's."""
+    """Returns `prefix` before what `stream` receives, and delegates everything else to `stream`."""
 
     def __init__(self, stream: trio.abc.Stream, prefix: bytes) -> None:
-        """Owns `stream` from now on."""
+        """Takes ownership of `stream`."""
         self._stream = stream
         self._prefix = prefix
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes | bytearray:
-        """Receive the whole prefix first, whatever its length."""
+        """Receive the whole prefix first, even if it is longer than `max_bytes`."""
         if self._prefix:
             await trio.lowlevel.checkpoint()
             prefix = self._prefix
@@ -23,13 +23,13 @@
         return await self._stream.receive_some(max_bytes)
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """As the stream's."""
+        """Send through the underlying stream."""
         await self._stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """As the stream's."""
+        """Wait for the underlying stream."""
         await self._stream.wait_send_all_might_not_block()
 
     async def aclose(self) -> None:
-        """Close the stream."""
+        """Close the underlying stream."""
         await self._stream.aclose()
--- a/juniperreel/frontends/mysql/prepared.py
+++ b/juniperreel/frontends/mysql/prepared.py
@@ -1,8 +1,8 @@
 """Prepared statements of one connection: texts, parameters and long data. No I/O.
 
-A client's statement id names a text here and nothing at any endpoint: each execution is sent as text and
-values, like any statement, so that it runs with its own text wherever it is sent. Source: MySQL's public
-documentation, "Prepared Statements" and "Binary Protocol Resultset".
+A client's statement id is known to the edge only. Each execution is submitted as text and values, like any
+other statement, so that any endpoint can run it. Source: MySQL's public documentation, "Prepared Statements"
+and "Binary Protocol Resultset".
 """
 
 from __future__ import annotations
@@ -42,15 +42,15 @@
 
 @dataclass(slots=True)
 class PreparedStatement:
-    """A text that a client prepared, with what its executions left for the next one."""
+    """A prepared text, with the parameter types and long data that the next execution uses."""
 
     id: int
     text: bytes
     parameters: int
-    reading: Classification
-    parse_settings: str = ""  # the session's settings that decided how the text reads, when it was prepared
-    types: list[Parameter] | None = None  # of its last execution: a client sends them once
-    long_data: dict[int, bytearray] = field(default_factory=dict)  # by parameter
+    classification: Classification
+    parse_settings: str = ""  # the session settings that determine the text's meaning, when it was prepared
+    types: list[Parameter] | None = None  # of the last execution that sent them; clients may send them once
+    long_data: dict[int, bytearray] = field(default_factory=dict)  # by parameter index
     long_data_error: PreparedStatementError | None = None  # raised by the next execution
 
 
@@ -65,7 +65,7 @@
 def count_parameters(text: bytes, mode: LexerMode) -> int:
     """Count question marks outside of strings, names and comments.
 
-    Raises PreparedStatementError for a text that cannot be tokenized, or with too many of them.
+    Raises PreparedStatementError for a text that cannot be tokenized or has too many parameters.
     """
     try:
         parameters = sum(
@@ -82,7 +82,7 @@
     """All prepared statements of one connection, bounded in number and in bytes."""
 
     def __init__(self, max_bytes: int) -> None:
-        """`max_bytes` bounds the texts together, and the long data together."""
+        """`max_bytes` limits the total of the texts, and separately that of the long data."""
         self._statements: dict[int, PreparedStatement] = {}
         self._ids = count(1)
         self._max_bytes = max_bytes
@@ -93,28 +93,28 @@
         return len(self._statements)
 
     def prepare(
-        self, text: bytes, reading: Classification, mode: LexerMode, parse_settings: str = ""
+        self, text: bytes, classification: Classification, mode: LexerMode, parse_settings: str = ""
     ) -> PreparedStatement:
-        """Remember a text under a new id. Raises PreparedStatementError."""
+        """Store a text under a new id. Raises PreparedStatementError if a limit is exceeded."""
         parameters = count_parameters(text, mode)
         if len(self._statements) >= MAX_STATEMENTS or self._text_bytes + len(text) > self._max_bytes:
             raise PreparedStatementError(
                 TOO_MANY_STATEMENTS, f"too many prepared statements on this connection: {len(self)}"
             )
-        statement = PreparedStatement(self._next_id(), text, parameters, reading, parse_settings)
+        statement = PreparedStatement(self._next_id(), text, parameters, classification, parse_settings)
         self._text_bytes += len(text)
         self._statements[statement.id] = statement
         return statement
 
     def _next_id(self) -> int:
-        """Ids wrap; one that is in use must keep its text, and 0 is none."""
+        """Return an unused id: ids wrap around, and 0 is invalid."""
         statement_id = next(self._ids) % ID_RANGE
         while statement_id in self._statements or not statement_id:
             statement_id = next(self._ids) % ID_RANGE
         return statement_id
 
     def get(self, statement_id: int) -> PreparedStatement:
-        """Raises PreparedStatementError for an id that was never prepared, or was closed."""
+        """Raises PreparedStatementError for an id that was never prepared or is closed."""
         statement = self._statements.get(statement_id)
         if statement is None:
             raise PreparedStatementError(
@@ -124,26 +124,26 @@
         return statement
 
     def close(self, payload: bytes) -> None:
-        """COM_STMT_CLOSE, which has no response: an unknown id is ignored."""
+        """Handle COM_STMT_CLOSE, which has no response: an unknown id is ignored."""
         statement = self._statements.pop(read_statement_id(payload), None)
         if statement is not None:
             self._text_bytes -= len(statement.text)
             self._drop_long_data(statement)
 
     def reset(self, payload: bytes) -> None:
-        """COM_STMT_RESET: drop the long data. Raises PreparedStatementError for an unknown id."""
+        """Handle COM_STMT_RESET: drop the long data. Raises PreparedStatementError for an unknown id."""
         statement = self.get(read_statement_id(payload))
         self._drop_long_data(statement)
         statement.long_data_error = None
 
     def clear(self) -> None:
-        """Forget all statements, as a new session does."""
+        """Drop all statements, as a new session requires."""
         self._statements.clear()
         self._text_bytes = 0
         self._long_data_bytes = 0
 
     def append_long_data(self, payload: bytes) -> None:
-        """COM_STMT_SEND_LONG_DATA, which has no response: an error is raised by the next execution."""
+        """Handle COM_STMT_SEND_LONG_DATA, which has no response: the next execution raises its error."""
         statement = self._statements.get(read_statement_id(payload))
         if statement is None or len(payload) < LONG_DATA_HEADER_BYTES:
             return
@@ -154,7 +154,7 @@
                 WRONG_ARGUMENTS, "Incorrect arguments to mysqld_stmt_send_long_data"
             )
         elif self._long_data_bytes + len(data) > self._max_bytes:
-            # Danger: data sent in pieces would grow without bound, though no single packet is too long.
+            # Without this limit, data sent in chunks could grow without bound although no packet is too long.
             statement.long_data_error = PreparedStatementError(
                 TOO_LONG, f"long data of more than {self._max_bytes} bytes"
             )
@@ -167,10 +167,10 @@
         statement.long_data.clear()
 
     def execute(self, payload: bytes, attributes: bool = False) -> Execution:
-        """Parse a COM_STMT_EXECUTE and use up the statement's long data.
+        """Parse a COM_STMT_EXECUTE, and drop the statement's long data afterwards.
 
-        `attributes`: whether client and server agreed on them, which changes the packet's form.
-        Raises PreparedStatementError; the statement stays.
+        `attributes`: whether client and server negotiated query attributes, which change the packet's format.
+        Raises PreparedStatementError; the statement stays prepared.
         """
         try:
             execution = self._parse_execution(Cursor(payload), attributes)
@@ -185,7 +185,7 @@
 
     def _parse_execution(self, cursor: Cursor, attributes: bool) -> Execution:
         statement = self.get(cursor.integer(ID_BYTES))
-        flags = cursor.integer(1)  # a cursor may be requested, and need not be opened
+        flags = cursor.integer(1)  # may request a cursor, which the server need not open
         cursor.take(4)  # the iteration count, which is always 1
         if statement.long_data_error is not None:
             error = statement.long_data_error
@@ -210,9 +210,11 @@
         values = decode_parameter_values(cursor, statement.types, null_bitmap, statement.long_data)
         if cursor.remaining:
             raise ProtocolError(f"{cursor.remaining} bytes too many")
-        own = statement.parameters
-        attributes = zip(statement.types[own:], values[own:], strict=True)
-        return Execution(statement, values[:own], {parameter.name: value for parameter, value in attributes})
+        declared = statement.parameters
+        attributes = zip(statement.types[declared:], values[declared:], strict=True)
+        return Execution(
+            statement, values[:declared], {parameter.name: value for parameter, value in attributes}
+        )
 
 
 def read_statement_id(payload: bytes) -> int:
--- a/juniperreel/frontends/mysql/request_submission.py
+++ b/juniperreel/frontends/mysql/request_submission.py
@@ -1,4 +1,4 @@
-"""Submits a statement to the proxy as a request of its own."""
+"""Submits a statement to the proxy as a request."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class InvalidGroupError(MysqlError):
-    """A statement names no group where one is needed, or one that does not exist."""
+    """A statement names no group although one is needed, or a group that does not exist."""
 
     def __init__(self, message: str) -> None:
         super().__init__(INVALID_STATEMENT, message)
@@ -39,39 +39,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A statement with what decides its request."""
+    """A statement and everything that its request to the proxy is built from."""
 
     statement: Statement
-    reading: Classification
+    classification: Classification
     plan: Plan
     attributes: Mapping[str, Value]  # of the client's command
     group: int
-    variables: SessionState  # of the session, as the endpoint's connection must have them
+    variables: SessionState  # the session's, which the endpoint's connection must have
 
     @property
     def writes(self) -> bool:
-        """Whether it is of a class that writes. What a plain read depends on travels with it."""
+        """Whether the request needs a class that writes.
+
+        A read needs none even if it depends on the session, whose state is sent with the request.
+        """
         if self.plan.assignments:
             return False
         if self.plan.transaction_mode is None:
-            return self.reading.kind is not StatementKind.READ
+            return self.classification.kind is not StatementKind.READ
         return self.plan.transaction_mode is TransactionMode.READ_WRITE
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What became of a request; `answer` is None where its deadline has passed."""
+    """The result of a request; `answer` is None if its deadline has passed."""
 
     answer: Answer | None
-    answer_by_us: int  # when the client must have the whole answer
-    time_limit_us: int  # of each statement of the class
+    response_deadline_us: int  # when the client must have the whole answer
+    statement_timeout_us: int  # of the request class
 
 
 class RequestSubmitter:
     """Classifies the statements of one session and submits them."""
 
     def __init__(self, context: FrontendContext, session: SessionContext) -> None:
-        """Requests carry the session's token and name."""
+        """Requests are sent with the token and the name of `session`."""
         self._context = context
         self._session = session
 
@@ -107,7 +110,7 @@
     async def submit(self, request: Request, last_insert_id: int) -> Submission:
         """Submit the request and await its answer until shortly before its deadline.
 
-        `last_insert_id`: the session's, which the plan may ask for.
+        `last_insert_id`: of the session; sent if the plan needs it.
         """
         driver = self._context.driver
         clock = self._context.clock
@@ -116,7 +119,7 @@
         deadline_us = clock.now_us() + settings.deadline_us
         statement = request.statement
         plan = request.plan
-        work = ClientRequest(
+        client_request = ClientRequest(
             class_index=class_index,
             tenant_index=tenant_index,
             group=request.group,
@@ -133,10 +136,10 @@
             session_state=request.variables,
             last_insert_id=last_insert_id if plan.needs_insert_id else None,
         )
-        answer_by_us = deadline_us - driver.options.answer_margin_us // 2
+        response_deadline_us = deadline_us - driver.options.answer_margin_us // 2
         started_us = clock.now_us()
         answer = None
-        with trio.CancelScope(deadline=clock.trio_time(answer_by_us)):
-            answer = await driver.execute(work)
+        with trio.CancelScope(deadline=clock.trio_time(response_deadline_us)):
+            answer = await driver.execute(client_request)
         record_request(driver.metrics, settings.name, answer, clock.now_us() - started_us)
-        return Submission(answer, answer_by_us, settings.deadline_us)
+        return Submission(answer, response_deadline_us, settings.deadline_us)
--- a/juniperreel/frontends/mysql/result_writer.py
+++ b/juniperreel/frontends/mysql/result_writer.py
@@ -1,4 +1,4 @@
-"""Writes results to the client, long ones in parts and no faster than the client reads."""
+"""Writes results to the client; long ones are streamed at the rate at which the client reads."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         clock: Clock,
         flush: Callable[[], Awaitable[None]],
     ) -> None:
-        """`flush` sends what `protocol` has encoded, and waits while the client does not read."""
+        """`flush` sends what `protocol` has encoded, and blocks while the client does not read."""
         self._protocol = protocol
         self._session = session
         self._clock = clock
@@ -41,10 +41,10 @@
         table = to_table(result_set)
         return self._protocol.result(table.columns, table.rows, encode_binary_row if binary else None)
 
-    async def write(self, result: Result, until_us: int) -> list[Event]:
-        """Write the result of an endpoint that speaks MySQL, its rows as they came.
+    async def write(self, result: Result, deadline_us: int) -> list[Event]:
+        """Write the result of an endpoint that speaks MySQL, without decoding its rows.
 
-        The rest of a long result must have arrived by `until_us`.
+        All rows of a streamed result must have arrived by `deadline_us`.
         """
         if not result.columns:
             return self._write_ok(result)
@@ -54,7 +54,7 @@
             tracking = self._session.changed_token_tracking()
             return self._protocol.end_result(result.ok.warnings, tracking)
         try:
-            return await self._write_rest(result.remaining_rows, until_us)
+            return await self._write_remaining_rows(result.remaining_rows, deadline_us)
         finally:
             result.remaining_rows.close()
 
@@ -64,21 +64,21 @@
         tracking = self._session.changed_token_tracking()
         return self._protocol.ok(ok.affected, ok.insert_id, info, ok.warnings, tracking)
 
-    async def _write_rest(self, rest: RowStream, until_us: int) -> list[Event]:
+    async def _write_remaining_rows(self, row_stream: RowStream, deadline_us: int) -> list[Event]:
         try:
             while True:
-                # Danger: sending has a time-out of its own, which ends the connection. Ended by the deadline
-                # it would cut a packet off, and the client could read nothing that follows.
+                # Sending is not bounded by the deadline, which would truncate a packet and make everything
+                # after it unreadable for the client. It has its own time-out, which closes the connection.
                 await self._flush()
                 rows: list[bytes] | None = None
-                with trio.CancelScope(deadline=self._clock.trio_time(until_us)):
-                    rows = await rest.next_rows()
+                with trio.CancelScope(deadline=self._clock.trio_time(deadline_us)):
+                    rows = await row_stream.next_rows()
                 if rows is None:
                     response = ErrorResponse(DEADLINE_EXCEEDED, "the result did not end in time")
                     return response.write_to(self._protocol)
                 if not rows:
                     tracking = self._session.changed_token_tracking()
-                    return self._protocol.end_result(rest.ok.warnings, tracking)
+                    return self._protocol.end_result(row_stream.ok.warnings, tracking)
                 self._protocol.rows(rows)
         except StatementError as error:
             return self._protocol.error(error.err.code, error.err.sqlstate, error.err.message)
--- a/juniperreel/frontends/mysql/session_queries.py
+++ b/juniperreel/frontends/mysql/session_queries.py
@@ -1,4 +1,4 @@
-"""Queries about the session itself, which the edge answers without any endpoint."""
+"""Queries about the session, which the edge answers without an endpoint."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     """Reads and sets the causal token, and reads the last insert id and the autocommit mode."""
 
     def __init__(self, protocol: ServerSession, session: SessionContext, scope: TransactionScope) -> None:
-        """All three are the connection's own."""
+        """All three belong to the connection."""
         self._protocol = protocol
         self._session = session
         self._scope = scope
 
     def answer(self, text: bytes) -> list[Event] | None:
-        """Answer the query; None if it is not about the session. Raises MysqlError for an invalid token."""
+        """Answer a query about the session; None for any other. Raises MysqlError for an invalid token."""
         if TOKEN_QUERY.match(text):
             column = Column("@@juniperreel_token", ColumnType.VAR_STRING)
             return self._protocol.result([column], [(self._session.encoded_token(),)])
@@ -38,10 +38,10 @@
             self._session.merge_token(match[1].decode())
             return self._protocol.ok()
         if (match := LAST_INSERT_ID_QUERY.match(text)) is not None:
-            return self._integer(match[1].decode(), self._scope.last_insert_id)
+            return self._integer_result(match[1].decode(), self._scope.last_insert_id)
         if (match := AUTOCOMMIT_QUERY.match(text)) is not None:
-            return self._integer(match[1].decode(), int(self._scope.autocommit))
+            return self._integer_result(match[1].decode(), int(self._scope.autocommit))
         return None
 
-    def _integer(self, name: str, value: int) -> list[Event]:
+    def _integer_result(self, name: str, value: int) -> list[Event]:
         return self._protocol.result([Column(name, ColumnType.LONGLONG)], [(value,)])
--- a/juniperreel/frontends/mysql/transaction_scope.py
+++ b/juniperreel/frontends/mysql/transaction_scope.py
@@ -1,9 +1,9 @@
 """The state of one connection's transaction, and the plan for each statement that it implies. No I/O.
 
-    none -> pending -> open -> none        pending: acknowledged to the client, on no endpoint yet
+    none -> pending -> open -> none        pending: acknowledged to the client, not started at an endpoint
 
-A transaction reaches an endpoint with its first statement, which is its request: until then it may still go
-anywhere, and one that is begun and committed with nothing in it costs nothing.
+A transaction starts at an endpoint with its first statement, which is submitted as a request. Until then any
+endpoint can be chosen, and an empty transaction needs no endpoint at all.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from juniperreel.proxy import Transaction, TransactionMode
 from juniperreel.statements import Classification, SessionCommand, SessionVerb, StatementKind
 
-# What a statement may depend on, as the reader of statements names it.
+# Dependencies of statements, by the names that the statement classifier uses.
 LAST_INSERT_ID = "last insert id"
 LAST_STATEMENT = "last statement"
 USER_VARIABLES = "user variables"
-OF_PREVIOUS_STATEMENT = frozenset({"row count", "found rows", LAST_STATEMENT})
-CONNECTION_INDEPENDENT = frozenset({"system variables", "schema"})  # the same on each connection of endpoints
+PREVIOUS_STATEMENT_DEPENDENCIES = frozenset({"row count", "found rows", LAST_STATEMENT})
+CONNECTION_INDEPENDENT = frozenset({"system variables", "schema"})  # the same on all endpoint connections
 
-NO_EFFECT_QUERY = b"select 1"  # reaches an endpoint where the client's own statement must not
+NO_EFFECT_QUERY = b"select 1"  # sent to an endpoint where the client's statement must not be
 COMMIT_QUERY = b"commit"
 
 
 class Action(Enum):
-    """What is done with a statement."""
+    """How a statement is executed."""
 
     ACKNOWLEDGE = "answer OK"
     SINGLE_REQUEST = "a request of its own"
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How a statement is carried out."""
+    """The action for a statement and its parameters."""
 
     action: Action
-    transaction_mode: TransactionMode | None = None  # of the transaction that it begins
-    may_commit: bool = False  # a lost answer leaves its effect unknown
-    query: bytes | None = None  # in place of the statement
-    hides_result: bool = False  # the client sees an OK instead
+    transaction_mode: TransactionMode | None = None  # of the transaction that the statement begins
+    may_commit: bool = False  # if the answer is lost, the effect is unknown
+    query: bytes | None = None  # sent instead of the statement
+    hides_result: bool = False  # the client gets an OK instead
     taints_connection: bool = False  # no other session may use the endpoint's connection afterwards
-    assignments: tuple[tuple[str, str], ...] = ()  # session variables, once an endpoint has accepted them
-    needs_insert_id: bool = False  # the connection must be given the session's last insert id before
+    assignments: tuple[tuple[str, str], ...] = ()  # session variables, set once an endpoint accepted them
+    needs_insert_id: bool = False  # the session's last insert id must be set on the connection first
     error_code: ErrorCode = NOT_SUPPORTED
     error_message: str = ""
 
@@ -74,19 +74,19 @@
     """One connection's autocommit mode, transaction and last insert id."""
 
     def __init__(self, supports_transactions: bool, schema: str = "") -> None:
-        """`supports_transactions`: of the endpoints; `schema`: theirs, empty where it is not known."""
+        """`supports_transactions` and `schema` are those of the endpoints; an empty schema is unknown."""
         self._supports_transactions = supports_transactions
         self._schema = schema
         self.autocommit = True
         self.pending: TransactionMode | None = None
         self.transaction: Transaction | None = None
-        self.last_insert_id = 0  # as the client was given it
-        self.assigns_variables = False  # within the transaction, to values that cannot be replayed
+        self.last_insert_id = 0  # as last reported to the client
+        self.assigns_variables = False  # the transaction has set variables that cannot be replayed
         self._next_is_read_only = False
         self._open_is_read_only = False
         self._inserted_in_transaction = False
         self._statements_in_transaction = 0
-        self._lost_variables = False  # some were assigned in a transaction that has ended
+        self._has_lost_variables = False  # an ended transaction had set variables that cannot be replayed
 
     def status(self) -> int:
         """The protocol's status flags."""
@@ -106,101 +106,108 @@
 
     # Planning.
 
-    def plan(self, reading: Classification) -> Plan:
-        """What to do with a statement. SessionCommand statements may change the state at once."""
+    def plan(self, classification: Classification) -> Plan:
+        """Plan a statement. Session commands may change the state of the scope at once."""
         if self.transaction is not None and not self.transaction.open:
-            return self._plan_after_loss(reading)
-        if reading.session_command is not None:
-            return self._plan_control(reading.session_command)
-        reason = self._unsupported_reason(reading)
+            return self._plan_after_loss(classification)
+        if classification.session_command is not None:
+            return self._plan_session_command(classification.session_command)
+        reason = self._unsupported_reason(classification)
         if reason:
             return rejected(reason)
-        plan = self._plan_statement(reading)
+        plan = self._plan_statement(classification)
         inserted_here = self.transaction is not None and self._inserted_in_transaction
-        return replace(plan, needs_insert_id=LAST_INSERT_ID in reading.dependencies and not inserted_here)
+        return replace(
+            plan, needs_insert_id=LAST_INSERT_ID in classification.dependencies and not inserted_here
+        )
 
-    def _plan_statement(self, reading: Classification) -> Plan:
-        if self.read_only and reading.kind in (StatementKind.WRITE, StatementKind.LOCKING_READ):
+    def _plan_statement(self, classification: Classification) -> Plan:
+        if self.read_only and classification.kind in (StatementKind.WRITE, StatementKind.LOCKING_READ):
             return rejected("Cannot execute statement in a READ ONLY transaction.", READ_ONLY_TRANSACTION)
         if self.transaction is not None:
-            if reading.implicit_commit:
+            if classification.implicit_commit:
                 return Plan(Action.END_TRANSACTION, may_commit=True)
-            # An opaque statement may have committed: if its answer is lost, its effect is unknown.
+            # An opaque statement may commit: if its answer is lost, its effect is unknown.
             return Plan(
-                Action.RUN_IN_TRANSACTION, may_commit=reading.opaque, taints_connection=reading.opaque
+                Action.RUN_IN_TRANSACTION,
+                may_commit=classification.opaque,
+                taints_connection=classification.opaque,
             )
-        if reading.implicit_commit:
-            self.pending = None  # the pending transaction ends before anything was in it
+        if classification.implicit_commit:
+            self.pending = None  # the pending transaction ends empty
             return Plan(Action.SINGLE_REQUEST)
         if self.pending is not None or not self.autocommit:
-            return self._begin_with_statement(taints_connection=reading.opaque)
-        return Plan(Action.SINGLE_REQUEST, taints_connection=reading.opaque)
+            return self._begin_with_statement(taints_connection=classification.opaque)
+        return Plan(Action.SINGLE_REQUEST, taints_connection=classification.opaque)
 
     def _begin_with_statement(self, taints_connection: bool = False) -> Plan:
         mode = self.pending or TransactionMode.READ_WRITE
         return Plan(Action.BEGIN_TRANSACTION, mode, taints_connection=taints_connection)
 
-    def _plan_after_loss(self, reading: Classification) -> Plan:
-        """The endpoint ended the transaction.
+    def _plan_after_loss(self, classification: Classification) -> Plan:
+        """Plan the first statement after the endpoint ended the transaction.
 
-        Danger: without this error the next statement would take effect by itself, outside of the transaction
-        that its client believes to be in.
+        Without an error, the statement would take effect outside of the transaction that the client assumes
+        to be open.
         """
         self.on_transaction_ended()
-        if reading.session_command is not None and reading.session_command.verb is SessionVerb.ROLLBACK:
+        if (
+            classification.session_command is not None
+            and classification.session_command.verb is SessionVerb.ROLLBACK
+        ):
             return ACKNOWLEDGED
         return rejected(
             "the transaction was undone: its time was over, or its member has left", TRANSACTION_ROLLED_BACK
         )
 
-    def _plan_control(self, control: SessionCommand) -> Plan:
-        match control.verb:
+    def _plan_session_command(self, command: SessionCommand) -> Plan:
+        match command.verb:
             case SessionVerb.NAMES:
                 return ACKNOWLEDGED
             case SessionVerb.USE:
-                return self._plan_use(control)
+                return self._plan_use(command)
             case SessionVerb.COMMIT | SessionVerb.ROLLBACK:
-                return self._plan_end(control)
-            case SessionVerb.AUTOCOMMIT if control.enabled:
+                return self._plan_end(command)
+            case SessionVerb.AUTOCOMMIT if command.enabled:
                 return self._plan_autocommit_on()
         if not self._supports_transactions:
             return rejected("transactions need members that speak MySQL")
-        return self._plan_transaction_control(control)
+        return self._plan_transaction_command(command)
 
-    def _plan_transaction_control(self, control: SessionCommand) -> Plan:
-        """Statements that only endpoints which hold transactions can serve."""
-        match control.verb:
+    def _plan_transaction_command(self, command: SessionCommand) -> Plan:
+        """Plan session commands that need endpoints with transactions."""
+        match command.verb:
             case SessionVerb.AUTOCOMMIT:
                 self.autocommit = False
                 return ACKNOWLEDGED
             case SessionVerb.BEGIN:
-                return self._plan_begin(control)
+                return self._plan_begin(command)
             case SessionVerb.NEXT:
-                self._next_is_read_only = control.read_only
+                self._next_is_read_only = command.read_only
                 return ACKNOWLEDGED
             case SessionVerb.SAVEPOINT | SessionVerb.ROLLBACK_TO | SessionVerb.RELEASE:
-                return self._plan_savepoint(control)
+                return self._plan_savepoint(command)
             case SessionVerb.SET:
-                return self._plan_set(control)
+                return self._plan_set(command)
             case _:
                 return self._plan_computed_set()
 
-    def _plan_use(self, control: SessionCommand) -> Plan:
-        if self._schema and control.name.lower() == self._schema.lower():
+    def _plan_use(self, command: SessionCommand) -> Plan:
+        if self._schema and command.name.lower() == self._schema.lower():
             return ACKNOWLEDGED
         return rejected(f"another schema than {self._schema or 'that of the members'}", UNKNOWN_SCHEMA)
 
-    def _plan_end(self, control: SessionCommand) -> Plan:
+    def _plan_end(self, command: SessionCommand) -> Plan:
         if self.transaction is None:
             self.pending = None
             return ACKNOWLEDGED
-        if control.verb is SessionVerb.ROLLBACK:
+        if command.verb is SessionVerb.ROLLBACK:
             return Plan(Action.END_TRANSACTION)
         return self._commit(None)
 
     def _plan_autocommit_on(self) -> Plan:
         if self.autocommit:
-            return ACKNOWLEDGED  # only a change of the mode commits
+            return ACKNOWLEDGED  # without a change of mode nothing is committed
         self.autocommit = True
         self.pending = None
         return self._commit() if self.transaction is not None else ACKNOWLEDGED
@@ -211,26 +218,28 @@
         self.assigns_variables = True
         return Plan(Action.RUN_IN_TRANSACTION)
 
-    def _plan_set(self, control: SessionCommand) -> Plan:
-        """Variables that can be replayed on any connection.
+    def _plan_set(self, command: SessionCommand) -> Plan:
+        """Plan the assignment of variables, which must be replayable on any connection.
 
-        An endpoint is asked to accept them before the client is answered.
+        An endpoint has to accept them before the client gets its answer.
         """
-        others = [
+        unsupported = [
             name
-            for name, _ in control.assignments
+            for name, _ in command.assignments
             if not name.startswith("@") and name not in REPLAYABLE_VARIABLES
         ]
-        if others:
-            return rejected(f"not among what is replayed on other connections: {', '.join(others)[:200]}")
+        if unsupported:
+            return rejected(
+                f"not among what is replayed on other connections: {', '.join(unsupported)[:200]}"
+            )
         if self.transaction is not None:
-            return Plan(Action.RUN_IN_TRANSACTION, assignments=control.assignments)
+            return Plan(Action.RUN_IN_TRANSACTION, assignments=command.assignments)
         return Plan(
-            Action.SINGLE_REQUEST, query=NO_EFFECT_QUERY, hides_result=True, assignments=control.assignments
+            Action.SINGLE_REQUEST, query=NO_EFFECT_QUERY, hides_result=True, assignments=command.assignments
         )
 
     def _commit(self, query: bytes | None = COMMIT_QUERY) -> Plan:
-        """A read-only transaction has no effect that could be in doubt."""
+        """Plan a commit. Only that of a read-only transaction cannot have an unknown effect."""
         return Plan(
             Action.END_TRANSACTION,
             may_commit=not self.read_only,
@@ -238,38 +247,38 @@
             hides_result=query is not None,
         )
 
-    def _plan_begin(self, control: SessionCommand) -> Plan:
+    def _plan_begin(self, command: SessionCommand) -> Plan:
         if self.transaction is not None:
             # The open transaction is committed first; the caller then plans the statement again.
             return self._commit()
-        self.begin(control)
-        if control.snapshot:
+        self.begin(command)
+        if command.snapshot:
             return Plan(Action.BEGIN_TRANSACTION, self.pending, query=NO_EFFECT_QUERY, hides_result=True)
         return ACKNOWLEDGED
 
-    def begin(self, control: SessionCommand) -> None:
-        """Make a transaction pending, also after the commit that another `begin` implies."""
-        read_only = control.read_only or self._next_is_read_only
+    def begin(self, command: SessionCommand) -> None:
+        """Make a transaction pending; any open transaction has been committed before."""
+        read_only = command.read_only or self._next_is_read_only
         self.pending = TransactionMode.READ_ONLY if read_only else TransactionMode.READ_WRITE
         self._next_is_read_only = False
 
-    def _plan_savepoint(self, control: SessionCommand) -> Plan:
+    def _plan_savepoint(self, command: SessionCommand) -> Plan:
         if self.transaction is not None:
             return Plan(Action.RUN_IN_TRANSACTION)
-        if control.verb is not SessionVerb.SAVEPOINT:
-            return rejected(f"SAVEPOINT {control.name[:64]} does not exist", NO_SUCH_SAVEPOINT)
+        if command.verb is not SessionVerb.SAVEPOINT:
+            return rejected(f"SAVEPOINT {command.name[:64]} does not exist", NO_SUCH_SAVEPOINT)
         if self.pending is None and self.autocommit:
-            return ACKNOWLEDGED  # as on a server, where it marks nothing outside of a transaction
+            return ACKNOWLEDGED  # as on a MySQL server, where it has no effect outside of a transaction
         return self._begin_with_statement()
 
-    def _unsupported_reason(self, reading: Classification) -> str:
+    def _unsupported_reason(self, classification: Classification) -> str:
         """Why a statement cannot be served; empty if it can."""
-        if self._assigns_variable_in_transaction(reading):
+        if self._assigns_variable_in_transaction(classification):
             self.assigns_variables = True
             return ""
-        kind = reading.kind
-        opaque = reading.opaque and self._supports_transactions
-        dependencies = self._unmet_dependencies(reading)
+        kind = classification.kind
+        opaque = classification.opaque and self._supports_transactions
+        dependencies = self._unmet_dependencies(classification)
         if dependencies and (
             opaque or kind in (StatementKind.READ, StatementKind.WRITE, StatementKind.LOCKING_READ)
         ):
@@ -279,29 +288,29 @@
         if kind is StatementKind.LOCKING_READ:
             return "" if self._supports_transactions else "locking reads need members that speak MySQL"
         if kind is StatementKind.TRANSACTION:
-            return f"not supported: {reading.reason} with these words"
-        return f"not supported: {kind.value} ({reading.reason})"
+            return f"not supported: {classification.reason} with these words"
+        return f"not supported: {kind.value} ({classification.reason})"
 
-    def _assigns_variable_in_transaction(self, reading: Classification) -> bool:
+    def _assigns_variable_in_transaction(self, classification: Classification) -> bool:
         if self.transaction is None:
             return False
-        return reading.kind is StatementKind.SESSION and reading.reason == "assigns a variable"
+        return classification.kind is StatementKind.SESSION and classification.reason == "assigns a variable"
 
-    def _unmet_dependencies(self, reading: Classification) -> frozenset[str]:
-        """What a statement needs of its connection that this session cannot provide on any other."""
-        dependencies = reading.dependencies - CONNECTION_INDEPENDENT
+    def _unmet_dependencies(self, classification: Classification) -> frozenset[str]:
+        """The dependencies of a statement that this session cannot reproduce on the connection it gets."""
+        dependencies = classification.dependencies - CONNECTION_INDEPENDENT
         if self._supports_transactions:
             dependencies -= {LAST_INSERT_ID}
-            if self.assigns_variables or not self._lost_variables:
+            if self.assigns_variables or not self._has_lost_variables:
                 dependencies -= {USER_VARIABLES}
         if self.transaction is not None and self._statements_in_transaction:
-            dependencies -= OF_PREVIOUS_STATEMENT
+            dependencies -= PREVIOUS_STATEMENT_DEPENDENCIES
         return dependencies
 
     # Events.
 
     def on_transaction_opened(self, transaction: Transaction | None) -> None:
-        """The first statement was answered; None where that ended the transaction."""
+        """Record the answer to the first statement; `transaction` is None if it has already ended."""
         self._inserted_in_transaction = False
         self.assigns_variables = False
         self._statements_in_transaction = 1
@@ -310,7 +319,7 @@
         self.pending = None
 
     def on_statement_answered(self, insert_id: int = 0) -> None:
-        """A statement was answered, in a transaction or alone."""
+        """Record the answer to a statement, inside or outside of a transaction."""
         if insert_id:
             self.last_insert_id = insert_id
             self._inserted_in_transaction = True
@@ -319,19 +328,18 @@
             self.on_transaction_ended()
 
     def on_transaction_ended(self) -> None:
-        """The transaction is over, whatever became of it."""
-        # Danger: variables assigned on the transaction's connection are on no other; read there they would be
-        # NULL.
-        self._lost_variables = self._lost_variables or self.assigns_variables
+        """Record the end of the transaction, whatever its outcome."""
+        # Variables that were set on the transaction's connection would read as NULL on any other.
+        self._has_lost_variables = self._has_lost_variables or self.assigns_variables
         self.assigns_variables = False
         self.transaction = None
         self.pending = None
 
     def reset(self) -> None:
-        """The client has disconnected or starts a new session: roll back what is open."""
+        """Roll back the open transaction, since the client has disconnected or starts a new session."""
         if self.transaction is not None:
             self.transaction.release()
         self.on_transaction_ended()
-        self._lost_variables = False
+        self._has_lost_variables = False
         self.autocommit = True
         self._next_is_read_only = False
--- a/tests/e2e/test_transactions.py
+++ b/tests/e2e/test_transactions.py
@@ -551,7 +551,7 @@
     def send_and_stop(connection: Any) -> bool:
         connection._execute_command(COM_QUERY, "select 2")
         world.edge.stop()
-        return any(waiting.engaged for waiting in frontend._connections)
+        return any(waiting.blocks_drain for waiting in frontend._connections)
 
     def work(connection: Any) -> tuple[bool, int]:
         ask(connection, "select 1")
