--- a/tests/frontends/mysql/test_classification.py
+++ b/tests/frontends/mysql/test_classification.py
@@ -1,4 +1,4 @@
-"""Classification of statements by rules, and digests."""
+"""Classification of statements by rules, hints and digests."""
 
 from __future__ import annotations
 
@@ -61,5 +61,5 @@
     )
 
 
-def test_digest_of_unreadable_text_is_empty() -> None:
+def test_digest_of_text_that_cannot_be_tokenized_is_empty() -> None:
     assert statement_digest(b"select 'open") == ""
--- a/tests/frontends/mysql/test_prepared.py
+++ b/tests/frontends/mysql/test_prepared.py
@@ -1,4 +1,4 @@
-"""Prepared statements by bytes: values arrive as sent, and nothing grows without bound."""
+"""Prepared statements: decoding of the binary protocol, errors, and limits on statements and long data."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
     return prepared, prepared.prepare(text, classify_statement(text), LexerMode())
 
 
-def execution(number: int, *values: tuple[int, bool, bytes | None], typed: bool = True) -> bytes:
-    """COM_STMT_EXECUTE: type, unsigned, bytes of each parameter."""
+def encode_execution(statement_id: int, *values: tuple[int, bool, bytes | None], typed: bool = True) -> bytes:
+    """Encode COM_STMT_EXECUTE; each value is its type, whether it is unsigned, and its bytes or None."""
     nulls = bytearray((len(values) + 7) // 8)
     for position, (_, _, data) in enumerate(values):
         if data is None:
             nulls[position // 8] |= 1 << (position % 8)
     types = b"".join(bytes((kind, 0x80 * unsigned)) for kind, unsigned, _ in values) if typed else b""
     body = b"".join(data for _, _, data in values if data is not None)
-    return struct.pack("<IBI", number, 0, 1) + bytes(nulls) + bytes((typed,)) + types + body
+    return struct.pack("<IBI", statement_id, 0, 1) + bytes(nulls) + bytes((typed,)) + types + body
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
     kind: int, unsigned: bool, data: bytes, expected: Value
 ) -> None:
     prepared, statement = prepare(b"select ?")
-    assert prepared.execute(execution(statement.id, (kind, unsigned, data))) == Execution(
+    assert prepared.execute(encode_execution(statement.id, (kind, unsigned, data))) == Execution(
         statement, [expected], {}
     )
 
@@ -99,9 +99,9 @@
 def test_execute_without_types_uses_those_of_the_last_execution() -> None:
     prepared, statement = prepare()
     first = ((253, False, encode_string(b"a")), (8, False, struct.pack("<q", 7)))
-    assert prepared.execute(execution(statement.id, *first)).values == ["a", 7]
+    assert prepared.execute(encode_execution(statement.id, *first)).values == ["a", 7]
     again = ((0, False, None), (0, False, struct.pack("<q", 8)))
-    assert prepared.execute(execution(statement.id, *again, typed=False)).values == [None, 8]
+    assert prepared.execute(encode_execution(statement.id, *again, typed=False)).values == [None, 8]
 
 
 def error_of(prepared: PreparedStatements, payload: bytes) -> ErrorCode:
@@ -112,37 +112,40 @@
 
 def test_execute_with_bad_arguments_raises_and_keeps_the_statement() -> None:
     prepared, statement = prepare(b"select ?")
-    good = execution(statement.id, (8, False, struct.pack("<q", 1)))
-    assert error_of(prepared, execution(99, (8, False, bytes(8)))) == UNKNOWN_STATEMENT
-    assert error_of(prepared, execution(statement.id, (8, True, b"\xff" * 8))) == OUT_OF_RANGE
+    good = encode_execution(statement.id, (8, False, struct.pack("<q", 1)))
+    assert error_of(prepared, encode_execution(99, (8, False, bytes(8)))) == UNKNOWN_STATEMENT
+    assert error_of(prepared, encode_execution(statement.id, (8, True, b"\xff" * 8))) == OUT_OF_RANGE
     assert error_of(prepared, good[:-3]) == WRONG_ARGUMENTS
     assert error_of(prepared, good + b"!") == WRONG_ARGUMENTS
-    assert error_of(prepared, execution(statement.id, (99, False, b"x"))) == WRONG_ARGUMENTS
+    assert error_of(prepared, encode_execution(statement.id, (99, False, b"x"))) == WRONG_ARGUMENTS
     assert prepared.execute(good)[1] == [1]
     untyped = PreparedStatements(1000)
-    fresh = untyped.prepare(b"select ?", classify_statement(b"select ?"), LexerMode())
-    assert error_of(untyped, execution(fresh.id, (8, False, bytes(8)), typed=False)) == WRONG_ARGUMENTS
+    untyped_statement = untyped.prepare(b"select ?", classify_statement(b"select ?"), LexerMode())
+    assert (
+        error_of(untyped, encode_execution(untyped_statement.id, (8, False, bytes(8)), typed=False))
+        == WRONG_ARGUMENTS
+    )
 
 
 def test_long_data_in_pieces_is_joined_used_once_and_bounded() -> None:
     prepared, statement = prepare(max_bytes=1000)
-    number = struct.pack("<I", statement.id)
+    encoded_id = struct.pack("<I", statement.id)
     for part in (b"one ", b"two"):
-        prepared.append_long_data(number + b"\0\0" + part)
+        prepared.append_long_data(encoded_id + b"\0\0" + part)
     sent = ((253, False, b""), (8, False, struct.pack("<q", 7)))
-    assert prepared.execute(execution(statement.id, *sent)).values == ["one two", 7]
+    assert prepared.execute(encode_execution(statement.id, *sent)).values == ["one two", 7]
     inline = ((253, False, encode_string(b"short")), (8, False, struct.pack("<q", 7)))
-    assert prepared.execute(execution(statement.id, *inline)).values == ["short", 7]
+    assert prepared.execute(encode_execution(statement.id, *inline)).values == ["short", 7]
     for _ in range(20):
-        prepared.append_long_data(number + b"\0\0" + bytes(100))
-    assert error_of(prepared, execution(statement.id, *sent)) == TOO_LONG
-    prepared.reset(number)
-    assert prepared.execute(execution(statement.id, *inline)).values == ["short", 7]
-    prepared.append_long_data(number + b"\x09\0" + b"x")
-    assert error_of(prepared, execution(statement.id, *inline)) == WRONG_ARGUMENTS
+        prepared.append_long_data(encoded_id + b"\0\0" + bytes(100))
+    assert error_of(prepared, encode_execution(statement.id, *sent)) == TOO_LONG
+    prepared.reset(encoded_id)
+    assert prepared.execute(encode_execution(statement.id, *inline)).values == ["short", 7]
+    prepared.append_long_data(encoded_id + b"\x09\0" + b"x")
+    assert error_of(prepared, encode_execution(statement.id, *inline)) == WRONG_ARGUMENTS
 
 
-def prepare_times(prepared: PreparedStatements, times: int) -> None:
+def prepare_repeatedly(prepared: PreparedStatements, times: int) -> None:
     for _ in range(times):
         prepared.prepare(b"select 1", classify_statement(b"select 1"), LexerMode())
 
@@ -157,7 +160,7 @@
     assert prepared.get(statement.id).text == b"select 1"
     full, _ = prepare(b"select 1", max_bytes=1 << 20)
     with pytest.raises(PreparedStatementError) as caught:
-        prepare_times(full, MAX_STATEMENTS)
+        prepare_repeatedly(full, MAX_STATEMENTS)
     assert caught.value.code == TOO_MANY_STATEMENTS
     full.close(struct.pack("<I", 1))
     full.prepare(b"select 1", reading, LexerMode())
@@ -178,7 +181,7 @@
 
 
 @given(st.binary(max_size=200), st.integers(0, 4))
-def test_execute_with_noise_raises_or_returns_values(data: bytes, parameters: int) -> None:
+def test_execute_with_random_bytes_raises_or_returns_values(data: bytes, parameters: int) -> None:
     prepared, statement = prepare(b"select " + b",".join([b"?"] * parameters or [b"1"]))
     try:
         _, values, _ = prepared.execute(struct.pack("<IBI", statement.id, 0, 1) + data)
--- a/tests/frontends/mysql/test_result_writer.py
+++ b/tests/frontends/mysql/test_result_writer.py
@@ -1,4 +1,4 @@
-"""Long results to a client: what it gets can be read to its end, however the result ends."""
+"""Streamed results: the client can parse the whole response, however the result ends."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndlessRows:
-    """The rest of a result that always has more rows."""
+    """A row stream that never ends."""
 
     ok = Ok()
     closed = False
@@ -33,19 +33,19 @@
         self.closed = True
 
 
-def packets(data: bytes) -> list[tuple[int, bytes]]:
-    """The sequence number and payload of each packet; whatever is no whole packet fails."""
-    found = []
+def split_packets(data: bytes) -> list[tuple[int, bytes]]:
+    """Return the sequence number and payload of each packet; fails on a truncated packet."""
+    packets = []
     while data:
         size = int.from_bytes(data[:3], "little")
-        assert len(data) >= HEADER_BYTES + size, "a packet is cut off"
-        found.append((data[3], data[HEADER_BYTES : HEADER_BYTES + size]))
+        assert len(data) >= HEADER_BYTES + size, "packet truncated"
+        packets.append((data[3], data[HEADER_BYTES : HEADER_BYTES + size]))
         data = data[HEADER_BYTES + size :]
-    return found
+    return packets
 
 
-async def test_a_result_whose_time_runs_out_while_it_is_sent_ends_with_an_error_in_sequence() -> None:
-    """Guards against packets that were cut off by the deadline, behind which a client could read nothing."""
+async def test_result_that_exceeds_its_deadline_while_sending_ends_with_an_error_in_sequence() -> None:
+    """Guards against truncation of a packet by the deadline, after which the client could parse nothing."""
     protocol = ServerSession(1, b"n" * NONCE_BYTES, lambda _user: None, max_packet=1 << 20)
     clock = Clock()
     received = bytearray()
@@ -53,7 +53,7 @@
     async def flush() -> None:
         data = protocol.data_to_send()
         received.extend(data[: len(data) // 2])
-        await trio.lowlevel.checkpoint()  # the client does not read for a while
+        await trio.lowlevel.checkpoint()  # the client does not read here, so the deadline could interrupt
         received.extend(data[len(data) // 2 :])
 
     rows = EndlessRows()
@@ -62,7 +62,7 @@
     result = Result((Column("a", 253),), [encode_text_row(["x" * 100])] * 20, remaining_rows=rows)
     await writer.write(result, clock.now_us())
     received.extend(protocol.data_to_send())
-    found = packets(bytes(received))
-    assert [number for number, _ in found] == [number % 256 for number in range(len(found))]
-    assert found[-1][1][0] == ERR_PACKET
+    packets = split_packets(bytes(received))
+    assert [number for number, _ in packets] == [number % 256 for number in range(len(packets))]
+    assert packets[-1][1][0] == ERR_PACKET
     assert rows.closed
--- a/tests/frontends/mysql/test_transaction_scope.py
+++ b/tests/frontends/mysql/test_transaction_scope.py
@@ -1,4 +1,4 @@
-"""A connection's transaction by its statements alone, against a model of what a server would do."""
+"""The transaction scope of a connection: plans for statements, also compared with a model of a server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeTransaction:
-    """A transaction held by an endpoint."""
+    """A transaction that an endpoint holds."""
 
     def __init__(self) -> None:
         self.open = True
@@ -35,7 +35,7 @@
 
 
 class ScopeHarness:
-    """A scope, and a log of what an endpoint was sent for each statement."""
+    """A scope, and a log of what endpoints received for each statement."""
 
     def __init__(self, supports_transactions: bool = True) -> None:
         self.scope = TransactionScope(supports_transactions, "runs")
@@ -43,7 +43,7 @@
         self.log: list[str] = []
 
     def execute(self, text: str, fails: bool = False) -> Action:
-        """Play the connection, and an endpoint that follows the plan."""
+        """Plan a statement and act as the connection and the endpoint that execute the plan."""
         while True:
             reading = classify_statement(text.encode())
             plan = self.scope.plan(reading)
@@ -126,7 +126,7 @@
 
 def test_ddl_within_a_transaction_ends_it(harness: ScopeHarness) -> None:
     harness.execute("begin")
-    assert harness.execute("create table t (a int)") is Action.SINGLE_REQUEST, "nothing was open yet"
+    assert harness.execute("create table t (a int)") is Action.SINGLE_REQUEST, "no transaction was open yet"
     harness.execute("begin")
     harness.execute("insert into t values (1)")
     assert harness.execute("drop table t") is Action.END_TRANSACTION
@@ -134,8 +134,8 @@
 
 
 def test_next_statement_after_the_endpoint_ended_the_transaction_is_rejected_once() -> None:
-    """Danger: the next statement would take effect by itself, in the middle of what its client believes."""
-    for last, expected in (
+    """Guards against a statement that takes effect outside of the transaction its client takes for open."""
+    for statement, expected in (
         ("insert into t values (2)", Action.REJECT),
         ("commit", Action.REJECT),
         ("rollback", Action.ACKNOWLEDGE),
@@ -145,7 +145,7 @@
         harness.execute("insert into t values (1)")
         assert harness.transaction is not None
         harness.transaction.open = False
-        plan = harness.scope.plan(classify_statement(last.encode()))
+        plan = harness.scope.plan(classify_statement(statement.encode()))
         assert plan.action is expected
         assert plan.action is Action.ACKNOWLEDGE or plan.error_code == TRANSACTION_ROLLED_BACK
         assert harness.scope.transaction is None
@@ -181,12 +181,12 @@
     assert harness.scope.plan(classify_statement(b"select last_insert_id() + 1")).needs_insert_id
     harness.scope.on_statement_answered(insert_id=5)
     assert not harness.scope.plan(classify_statement(b"select last_insert_id() + 1")).needs_insert_id, (
-        "its own"
+        "the connection has its own insert id"
     )
 
 
 def test_computed_variables_after_their_transaction_are_rejected(harness: ScopeHarness) -> None:
-    """Danger: on another connection they would be NULL, and nobody would be harness."""
+    """Guards against variables that silently read as NULL on another connection."""
     harness.execute("begin")
     harness.execute("select 1")
     assert harness.execute("set @a = (select max(b) from t)") is Action.RUN_IN_TRANSACTION
@@ -199,7 +199,7 @@
     harness.execute("select 1")
     assert harness.execute("select @a") is Action.REJECT
     harness.scope.reset()
-    assert harness.execute("select @a") is Action.SINGLE_REQUEST, "a new session has set nothing"
+    assert harness.execute("select @a") is Action.SINGLE_REQUEST, "a new session has lost no variables"
 
 
 def test_statements_without_transaction_support_are_acknowledged_or_rejected() -> None:
@@ -242,22 +242,22 @@
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(STATEMENTS), st.booleans()), max_size=25))
 def test_status_flags_for_any_statements_match_a_model_server(statements: list[tuple[str, bool]]) -> None:
-    """A plain model of autocommit and transactions, which knows no pending state."""
+    """The model has autocommit and transactions, but no pending state."""
     harness = ScopeHarness()
     autocommit = True
-    inside = False
+    in_transaction = False
     for text, _ in statements:
         harness.execute(text)
         if text == "begin":
-            inside = True
+            in_transaction = True
         elif text in ("commit", "rollback", "create table t (a int)"):
-            inside = False
+            in_transaction = False
         elif text.startswith("set autocommit"):
             if text.endswith("1") and not autocommit:
-                inside = False
+                in_transaction = False
             autocommit = text.endswith("1")
         elif not autocommit:
-            inside = True  # a statement begins one
+            in_transaction = True  # without autocommit, any other statement begins a transaction
         status = harness.scope.status()
         assert bool(status & ServerStatus.AUTOCOMMIT) == autocommit
-        assert bool(status & ServerStatus.IN_TRANSACTION) == inside, (statements, text)
+        assert bool(status & ServerStatus.IN_TRANSACTION) == in_transaction, (statements, text)
