--- a/tests/e2e/environment.py
+++ b/tests/e2e/environment.py
@@ -105,42 +105,42 @@
 """
 
 
-def certificate(folder: Path) -> None:
-    """Of 127.0.0.1, and the authority's that signed it."""
-    authority = trustme.CA()
-    made = authority.issue_cert("127.0.0.1")
-    authority.cert_pem.write_to_path(folder / "ca.crt")
-    made.private_key_pem.write_to_path(folder / "edge.pem")
-    made.cert_chain_pems[0].write_to_path(folder / "edge.crt")
+def write_certificate(folder: Path) -> None:
+    """Write a certificate for 127.0.0.1, its key, and the certificate of the authority that signed it."""
+    certificate_authority = trustme.CA()
+    issued = certificate_authority.issue_cert("127.0.0.1")
+    certificate_authority.cert_pem.write_to_path(folder / "ca.crt")
+    issued.private_key_pem.write_to_path(folder / "edge.pem")
+    issued.cert_chain_pems[0].write_to_path(folder / "edge.crt")
 
 
 class Environment:
     """A running fleet and edge; start it with `nursery.start(env.run)`."""
 
-    def __init__(self, folder: Path, day: str = "", more: str = "") -> None:
-        """`more`: directives of [mysql]."""
-        self.folder, self.more = folder, more
-        self.day = parse(SCRIPT + day)
+    def __init__(self, folder: Path, script: str = "", mysql_directives: str = "") -> None:
+        """`script`: additional directives; `mysql_directives`: of section [mysql] of the edge's settings."""
+        self.folder, self.mysql_directives = folder, mysql_directives
+        self.script = parse(SCRIPT + script)
         self.clock = Clock()
         self.network = TcpNetwork()
         self.recorder = Recorder()
-        self.fleet = Fleet(self.day, self.network, self.clock, self.recorder)
-        self.ring = Keyring([SigningKey(1, KEY)])
+        self.fleet = Fleet(self.script, self.network, self.clock, self.recorder)
+        self.keyring = Keyring([SigningKey(1, KEY)])
         self.port = 0
-        self.count = 0
+        self.request_count = 0
 
     async def run(self, task_status: trio.TaskStatus[Environment] = trio.TASK_STATUS_IGNORED) -> None:
         (self.folder / "token.key").write_bytes(KEY)
-        certificate(self.folder)
+        write_certificate(self.folder)
         (self.folder / "ada.password").write_bytes(b"love lace\n")
         async with trio.open_nursery() as nursery:
             await nursery.start(self.fleet.run)
             text = (
                 EDGE_SETTINGS.format(hosts=self.fleet.endpoint_list.port)
                 + "tls edge.crt edge.pem\n"
-                + self.more
+                + self.mysql_directives
             )
-            if self.day["mysql-members"]:
+            if self.script["mysql-members"]:
                 (self.folder / "member.password").write_bytes(PASSWORD)
                 text = text.replace("effect keyed group 5s", "effect once") + MYSQL_MEMBERS
             settings = parse_edge(text.encode(), "edge.conf", self.folder)
@@ -151,12 +151,12 @@
                     self.network, self.clock, "127.0.0.1", self.port, Limits(), random.Random(1)
                 )
                 await nursery.start(self.channel.run)
-                await self.settled()
+                await self.wait_until_ready()
                 task_status.started(self)
                 await trio.sleep_forever()
 
-    async def settled(self) -> None:
-        """Until the edge knows the members and serves a read and a write."""
+    async def wait_until_ready(self) -> None:
+        """Wait until the edge knows all endpoints and serves a write and a read."""
         with trio.fail_after(20):
             while len(self.edge.driver.router.state.endpoints) < len(self.fleet.endpoints):
                 await trio.sleep(0.02)
@@ -170,43 +170,51 @@
             if writes
             else "select id from runs where runner = ?"
         )
-        ask = records_pb2.ExecuteRequest(statement=f"{text} /* rid {rid} */".encode(), session="s", **fields)
-        setattr(ask, "class", cls)
-        if cls == "write" and not ask.idempotency_key:
-            ask.idempotency_key = rid
+        request = records_pb2.ExecuteRequest(
+            statement=f"{text} /* rid {rid} */".encode(), session="s", **fields
+        )
+        setattr(request, "class", cls)
+        if cls == "write" and not request.idempotency_key:
+            request.idempotency_key = rid
         for value in (row, rid) if writes else (row,):
-            ask.parameters.append(values_pb2.Value(text=value))
-        return ask
+            request.parameters.append(values_pb2.Value(text=value))
+        return request
 
-    def rid(self) -> str:
-        self.count += 1
-        return f"t{self.count}"
+    def next_rid(self) -> str:
+        self.request_count += 1
+        return f"t{self.request_count}"
 
     async def send(
-        self, ask: records_pb2.ExecuteRequest, timeout_s: float = 10, metadata: Any = ()
+        self, request: records_pb2.ExecuteRequest, timeout_s: float = 10, metadata: Any = ()
     ) -> records_pb2.ExecuteResponse:
         with trio.fail_after(timeout_s + 5):
-            reply = await self.channel.unary(EXECUTE, ask.SerializeToString(), metadata, int(timeout_s * 1e6))
+            reply = await self.channel.unary(
+                EXECUTE, request.SerializeToString(), metadata, int(timeout_s * 1e6)
+            )
         return records_pb2.ExecuteResponse.FromString(reply.message)
 
     async def write(self, row: str, cls: str = "write", rid: str = "") -> records_pb2.ExecuteResponse:
-        return await self.send(self.message(cls, row, rid or self.rid()))
+        return await self.send(self.message(cls, row, rid or self.next_rid()))
 
     async def read(
         self, row: str, token: bytes = b"", cls: str = "own", timeout_s: float = 10
     ) -> records_pb2.ExecuteResponse:
-        return await self.send(self.message(cls, row, self.rid(), causal_token=token), timeout_s)
+        return await self.send(self.message(cls, row, self.next_rid(), causal_token=token), timeout_s)
 
     def token(self, position: int, epoch: int = 1) -> bytes:
-        return self.ring.encode(Token.for_position(0, epoch, position))
+        return self.keyring.encode(Token.for_position(0, epoch, position))
 
     def commits(self, rid: str) -> list[Committed]:
-        return [r for r in self.recorder.records if isinstance(r, Committed) and r.request_id == rid]
-
-    async def fault(self, text: str) -> None:
-        """One fault now, for its whole span."""
+        return [
+            record
+            for record in self.recorder.records
+            if isinstance(record, Committed) and record.request_id == rid
+        ]
+
+    async def inject_fault(self, text: str) -> None:
+        """Inject a fault now; returns after its whole duration."""
         (step,) = parse(text).steps
-        await FaultInjector(self.fleet, no_edge).carry_out(step)
+        await FaultInjector(self.fleet, reject_edge_step).carry_out(step)
 
     @property
     def primary(self) -> Any:
@@ -214,7 +222,7 @@
         return self.fleet.groups[0].primary
 
     def metric(self, name: str, **labels: str) -> float:
-        """The sum over all labels that are not named."""
+        """Return the sum of the samples that have the given labels."""
         return sum(
             sample.value
             for family in self.edge.metrics.registry.collect()
@@ -223,7 +231,7 @@
         )
 
 
-async def no_edge(step: Step) -> None:
+async def reject_edge_step(step: Step) -> None:
     raise AssertionError(step.text)
 
 
--- a/tests/e2e/test_clients.py
+++ b/tests/e2e/test_clients.py
@@ -1,5 +1,4 @@
-"""Ordinary use by three clients that others wrote, unmodified, through the edge to members that speak
-MySQL."""
+"""An ordinary workload of three unmodified MySQL clients, through the edge to endpoints that speak MySQL."""
 
 from __future__ import annotations
 
@@ -22,15 +21,17 @@
 from juniperreel.mysql.client import ClientSession
 from juniperreel.mysql.client_events import Done
 from tests.e2e.environment import Environment, rows
-from tests.e2e.test_mysql import port
+from tests.e2e.test_mysql import mysql_port
 
-MANY = "with recursive n (i) as (select 1 union all select i + 1 from n where i < %d) select i from n"
+NUMBERS_QUERY = (
+    "with recursive n (i) as (select 1 union all select i + 1 from n where i < %d) select i from n"
+)
 
 
 class Client(Protocol):
-    """As much as the three have in common."""
+    """The interface that the tests need of each client."""
 
-    def ask(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]: ...
+    def run_statement(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]: ...
 
     def prepared(self, text: str, values: tuple[Any, ...]) -> list[Any]: ...
 
@@ -59,17 +60,17 @@
         with pymysql.connect(**options) as connection:
             yield Pymysql(connection)
 
-    def ask(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
+    def run_statement(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
         with self._connection.cursor() as cursor:
             cursor.execute(text, values or None)
             return list(cursor.fetchall())
 
     def prepared(self, text: str, values: tuple[Any, ...]) -> list[Any]:
-        return self.ask(text.replace("?", "%s"), values)  # it has none: values go into the text
+        return self.run_statement(text.replace("?", "%s"), values)  # pymysql has no prepared statements
 
     def code(self, text: str) -> int:
         try:
-            self.ask(text)
+            self.run_statement(text)
         except self.error as error:
             return int(error.args[0])
         return 0
@@ -100,23 +101,23 @@
         with mysql.connector.connect(use_pure=True, connection_timeout=30, **options) as connection:
             yield Connector(connection)
 
-    def ask(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
+    def run_statement(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
         cursor = self._connection.cursor()
         cursor.execute(text, values)
-        found = list(cursor.fetchall()) if cursor.with_rows else []
+        fetched = list(cursor.fetchall()) if cursor.with_rows else []
         cursor.close()
-        return found
+        return fetched
 
     def prepared(self, text: str, values: tuple[Any, ...]) -> list[Any]:
         cursor = self._connection.cursor(prepared=True)
         cursor.execute(text, values)
-        found = list(cursor.fetchall()) if cursor.with_rows else []
+        fetched = list(cursor.fetchall()) if cursor.with_rows else []
         cursor.close()
-        return found
+        return fetched
 
     def code(self, text: str) -> int:
         try:
-            self.ask(text)
+            self.run_statement(text)
         except self.error as error:
             return int(error.errno)
         return 0
@@ -147,7 +148,7 @@
         finally:
             loop.close()
 
-    def ask(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
+    def run_statement(self, text: str, values: tuple[Any, ...] = ()) -> list[Any]:
         async def run() -> list[Any]:
             async with self._connection.cursor() as cursor:
                 await cursor.execute(text, values or None)
@@ -173,77 +174,86 @@
 
 @pytest.fixture(params=["caching_sha2_password", "mysql_native_password"])
 async def env(request: pytest.FixtureRequest, nursery: trio.Nursery, tmp_path: Path) -> Environment:
-    made = Environment(tmp_path, "mysql-members 1", f"login {request.param}\n")
-    started: Environment = await nursery.start(made.run)
+    environment = Environment(tmp_path, "mysql-members 1", f"login {request.param}\n")
+    started: Environment = await nursery.start(environment.run)
     return started
 
 
-async def use(env: Environment, work: Any, kind: Any, **options: Any) -> Any:
-    fields = {"host": "127.0.0.1", "port": port(env), "user": "ada", "password": "love lace"}
+async def run_client(env: Environment, work: Any, client_class: Any, **options: Any) -> Any:
+    fields = {"host": "127.0.0.1", "port": mysql_port(env), "user": "ada", "password": "love lace"}
 
     def run() -> Any:
-        with kind.open(**fields, **options) as client:
+        with client_class.open(**fields, **options) as client:
             return work(client)
 
     with trio.fail_after(90):
         return await trio.to_thread.run_sync(run)
 
 
-def ordinary(client: Client, name: str) -> list[Any]:
-    """What an app server does in a day."""
-    seen: list[Any] = []
+def run_workload(client: Client, name: str) -> list[Any]:
+    """The statements of a typical application server; returns their results."""
+    results: list[Any] = []
     insert, select = "insert into runs (runner, id) values (%s, %s)", "select id from runs where runner = %s"
     client.autocommit(True)
     for n in range(3):
-        client.ask(insert, (name, f"a{n}"))
-        seen.append(len(client.ask(select, (name,))))
+        client.run_statement(insert, (name, f"a{n}"))
+        results.append(len(client.run_statement(select, (name,))))
     for n in range(3):
         client.prepared("insert into runs (runner, id) values (?, ?)", (name, f"p{n}"))
-    seen.append(len(client.prepared("select id from runs where runner = ?", (name,))))
+    results.append(len(client.prepared("select id from runs where runner = ?", (name,))))
     client.begin()
-    client.ask(insert, (name, "t"))
-    seen.append(len(client.ask(select, (name,))))
+    client.run_statement(insert, (name, "t"))
+    results.append(len(client.run_statement(select, (name,))))
     client.rollback()
-    seen.append(len(client.ask(select, (name,))))
+    results.append(len(client.run_statement(select, (name,))))
     client.autocommit(False)
-    client.ask(insert, (name, "t"))
+    client.run_statement(insert, (name, "t"))
     client.commit()
-    client.ask("update runs set id = 'changed' where runner = %s and id = 't'", (name,))
+    client.run_statement("update runs set id = 'changed' where runner = %s and id = 't'", (name,))
     client.commit()
     client.autocommit(True)
-    seen.append(client.ask("select id from runs where runner = %s and id like %s", (name, "ch%")))
-    seen.append(sum(row[0] for row in client.ask(MANY % 30_000)))
+    results.append(
+        client.run_statement("select id from runs where runner = %s and id like %s", (name, "ch%"))
+    )
+    results.append(sum(row[0] for row in client.run_statement(NUMBERS_QUERY % 30_000)))
     errors = ("select * from nowhere", "selekt", "insert into runs (number, runner, id) values (1, 'a', 'b')")
-    seen.append([client.code(text) for text in errors])
-    seen.append(client.ask("select 1"))
-    return seen
+    results.append([client.code(text) for text in errors])
+    results.append(client.run_statement("select 1"))
+    return results
 
 
 EXPECTED = [1, 2, 3, 6, 7, 6, [("changed",)], 30_000 * 30_001 // 2, [1146, 1064, 1062], [(1,)]]
 
 
-async def test_an_app_server_s_day(env: Environment) -> None:
-    for kind in CLIENTS:
-        assert await use(env, lambda c, kind=kind: ordinary(c, kind.__name__), kind) == EXPECTED, kind
-        name = f"{kind.__name__} tls"
+async def test_workload_of_an_application_server(env: Environment) -> None:
+    for client_class in CLIENTS:
+        assert (
+            await run_client(
+                env, lambda c, client_class=client_class: run_workload(c, client_class.__name__), client_class
+            )
+            == EXPECTED
+        ), client_class
+        name = f"{client_class.__name__} tls"
         authority = str(env.folder / "ca.crt")
-        seen = await use(env, lambda c, name=name: ordinary(c, name), kind, tls=authority, database="runs")
-        assert seen == EXPECTED, name
+        results = await run_client(
+            env, lambda c, name=name: run_workload(c, name), client_class, tls=authority, database="runs"
+        )
+        assert results == EXPECTED, name
         with pytest.raises(Exception, match="Access denied"):
-            await stranger(env, kind)
+            await connect_with_wrong_password(env, client_class)
 
 
-async def stranger(env: Environment, kind: Any) -> None:
-    fields = {"host": "127.0.0.1", "port": port(env), "user": "ada", "password": "wrong"}
+async def connect_with_wrong_password(env: Environment, client_class: Any) -> None:
+    fields = {"host": "127.0.0.1", "port": mysql_port(env), "user": "ada", "password": "wrong"}
 
     def run() -> None:
-        with kind.open(**fields):
+        with client_class.open(**fields):
             pass
 
     await trio.to_thread.run_sync(run)
 
 
-MEANT: dict[str, Any] = {
+EXPECTED_VALUES: dict[str, Any] = {
     "decimal": Decimal("-12345678901234567890.12"),
     "date": date(2026, 12, 1),
     "datetime": datetime(2026, 12, 1, 23, 59, 58, 7),
@@ -252,60 +262,61 @@
 }
 
 
-async def test_every_type_of_column_comes_through_in_text_and_in_binary(env: Environment) -> None:
-    expected = [MEANT.get(name, value) for name, *_, value in TYPED_COLUMNS]
-    for kind in CLIENTS:
-        first, second = await use(env, lambda c: c.ask("select * from every_type"), kind)
-        assert normal(first) == normal(expected) and set(second) == {None}, kind
-    # This client reads a year in binary as a text, which it is not, and of a negative time only the days as
-    # such.
+async def test_values_of_every_column_type_in_text_and_binary_protocol(env: Environment) -> None:
+    expected = [EXPECTED_VALUES.get(name, value) for name, *_, value in TYPED_COLUMNS]
+    for client_class in CLIENTS:
+        first, second = await run_client(
+            env, lambda c: c.run_statement("select * from every_type"), client_class
+        )
+        assert normalize(first) == normalize(expected) and set(second) == {None}, client_class
+    # In the binary protocol this client decodes a year as text, and negates only the days of a negative time.
     text = "select * from every_type_but_year where ? = ?"
-    first, second = await use(env, lambda c: c.prepared(text, (1, 1)), Connector)
-    others = normal(v for v in expected if v not in (2026, MEANT["time"]))
-    assert [v for v in normal(first) if not isinstance(v, timedelta)] == others
+    first, second = await run_client(env, lambda c: c.prepared(text, (1, 1)), Connector)
+    others = normalize(v for v in expected if v not in (2026, EXPECTED_VALUES["time"]))
+    assert [v for v in normalize(first) if not isinstance(v, timedelta)] == others
     assert set(second) == {None}
-    # And to a client of gRPC, for whom dates and decimals stay text.
-    ask = env.message("own", "r", "x")
-    ask.statement = b"select * from every_type where ? = ?"
-    for parameter in ask.parameters[:1]:
-        ask.parameters.append(parameter)
-    answer = (await env.send(ask)).result
+    # gRPC clients get dates and decimals as text.
+    request = env.message("own", "r", "x")
+    request.statement = b"select * from every_type where ? = ?"
+    for parameter in request.parameters[:1]:
+        request.parameters.append(parameter)
+    answer = (await env.send(request)).result
     assert list(answer.columns) == [name for name, *_ in TYPED_COLUMNS]
-    told = {
+    row = {
         c: getattr(v, v.WhichOneof("kind"))
         for c, v in zip(answer.columns, answer.rows[0].values, strict=True)
     }
-    assert told["decimal"] == "-12345678901234567890.12" and told["time"] == "-26:00:01.500000"
-    assert told["year"] == 2026 and told["ubig"] == "18446744073709551615"
-    assert told["blob"] == bytes(range(256)) and told["short"] == -32768 and told["double"] == 0.1
+    assert row["decimal"] == "-12345678901234567890.12" and row["time"] == "-26:00:01.500000"
+    assert row["year"] == 2026 and row["ubig"] == "18446744073709551615"
+    assert row["blob"] == bytes(range(256)) and row["short"] == -32768 and row["double"] == 0.1
     assert {v.WhichOneof("kind") for v in answer.rows[1].values} == {"null"}
     assert rows(await env.read("none")) == []
 
 
-def normal(row: Any) -> list[Any]:
-    """Clients differ in how they show sets, bits and JSON."""
+def normalize(row: Any) -> list[Any]:
+    """Convert sets, bits and JSON, which the clients represent differently, to one form."""
     out = []
     for value in row:
         if isinstance(value, set | frozenset):
             value = ",".join(sorted(value))
         if isinstance(value, bytes) and value == b"\x05":
             value = 5
-        out.append(value.decode() if isinstance(value, bytes | bytearray) and is_text(value) else value)
+        out.append(value.decode() if isinstance(value, bytes | bytearray) and is_printable(value) else value)
     return [5 if value == "\x05" else value for value in out]
 
 
-def is_text(value: bytes | bytearray) -> bool:
+def is_printable(value: bytes | bytearray) -> bool:
     try:
         return bytes(value).decode().isprintable()
     except UnicodeDecodeError:
         return False
 
 
-async def test_a_client_that_tracks_its_session_is_told_its_token(env: Environment) -> None:
-    """By the wire: GTIDs of session tracking, after a write and after a commit."""
+async def test_session_tracking_reports_the_token(env: Environment) -> None:
+    """Session tracking sends the token as GTIDs after a write and after a commit."""
     tokens = []
     session = ClientSession("ada", b"love lace", "", 1 << 20)
-    stream = await trio.open_tcp_stream("127.0.0.1", port(env))
+    stream = await trio.open_tcp_stream("127.0.0.1", mysql_port(env))
     with trio.fail_after(20):
         while not session.connection_id or session.state.value != "ready":
             session.receive(await stream.receive_some(65536))
@@ -324,16 +335,18 @@
             tokens.append(done[0].ok.gtids)
             assert session.in_transaction == (text in (b"begin",) or (len(tokens) == 3))
     assert tokens[0] and not tokens[1] and not tokens[2] and tokens[3]
-    first, last = (env.ring.decode_text(tokens[n]) for n in (0, 3))
+    first, last = (env.keyring.decode_text(tokens[n]) for n in (0, 3))
     assert first.join(last) == last != first
     for member in env.fleet.endpoints.values():
         member.replica.apply_slowdown = 1e5
-    # Another connection presents it as an attribute of its statement, and sees what was written.
+    # A forged token in an attribute is rejected; another connection sends the token in a comment.
     session.query(b"select 1", {"juniperreel_token": "forged"})
     await stream.send_all(session.data_to_send())
     assert b"token" in await stream.receive_some(65536)
     await stream.aclose()
-    seen = await use(
-        env, lambda c: c.ask(f"select id from runs /* token {tokens[3]} */ where runner = 'a'"), Pymysql
+    results = await run_client(
+        env,
+        lambda c: c.run_statement(f"select id from runs /* token {tokens[3]} */ where runner = 'a'"),
+        Pymysql,
     )
-    assert seen == [("b",), ("c",)]
+    assert results == [("b",), ("c",)]
--- a/tests/e2e/test_mysql.py
+++ b/tests/e2e/test_mysql.py
@@ -1,4 +1,4 @@
-"""pymysql, unmodified, through the edge to the members."""
+"""Unmodified MySQL clients through the edge to endpoints that speak gRPC."""
 
 from __future__ import annotations
 
@@ -21,77 +21,77 @@
 SELECT = "select id from runs where runner = '%s' order by number"
 
 
-def port(env: Environment) -> int:
+def mysql_port(env: Environment) -> int:
     lines = [json.loads(line) for line in (env.folder / "edge.log").read_text().splitlines()]
-    place: str = next(line["mysql"] for line in lines if line["event"] == "serving")
-    return int(place.rpartition(":")[2])
+    address: str = next(line["mysql"] for line in lines if line["event"] == "serving")
+    return int(address.rpartition(":")[2])
 
 
-async def using(env: Environment, work: Callable[[Any], Any], **options: Any) -> Any:
-    where = port(env)
+async def run_pymysql(env: Environment, work: Callable[[Any], Any], **options: Any) -> Any:
+    edge_port = mysql_port(env)
 
     def run() -> Any:
         fields: dict[str, Any] = {"user": "ada", "password": "love lace", "autocommit": True} | options
-        with pymysql.connect(host="127.0.0.1", port=where, **fields) as connection:
+        with pymysql.connect(host="127.0.0.1", port=edge_port, **fields) as connection:
             return work(connection)
 
     with trio.fail_after(40):
         return await trio.to_thread.run_sync(run)
 
 
-def ask(connection: Any, text: str) -> Any:
+def execute(connection: Any, text: str) -> Any:
     with connection.cursor() as cursor:
         cursor.execute(text)
         return cursor.fetchall()
 
 
-async def test_a_session_sees_its_own_writes_though_replicas_lag(env: Environment) -> None:
+async def test_session_sees_its_own_writes_while_replicas_lag(env: Environment) -> None:
     for member in env.fleet.endpoints.values():
         member.replica.apply_slowdown = 1e5
 
     def work(connection: Any) -> list[Any]:
-        seen = []
+        results = []
         for n in range(5):
-            ask(connection, INSERT % ("m", f"w{n}"))
-            seen.append(ask(connection, SELECT % "m"))
+            execute(connection, INSERT % ("m", f"w{n}"))
+            results.append(execute(connection, SELECT % "m"))
         connection.commit()
-        return seen
+        return results
 
-    seen = await using(env, work)
-    assert [len(s) for s in seen] == [1, 2, 3, 4, 5] and seen[-1][-1] == ("w4",)
+    results = await run_pymysql(env, work)
+    assert [len(s) for s in results] == [1, 2, 3, 4, 5] and results[-1][-1] == ("w4",)
 
 
-async def test_a_token_of_one_front_is_good_at_the_other(env: Environment) -> None:
+async def test_token_of_one_front_end_is_accepted_by_the_other(env: Environment) -> None:
     def write(connection: Any) -> str:
-        ask(connection, INSERT % ("t", "one"))
-        return str(ask(connection, "select @@juniperreel_token")[0][0])
+        execute(connection, INSERT % ("t", "one"))
+        return str(execute(connection, "select @@juniperreel_token")[0][0])
 
-    token = await using(env, write)
+    token = await run_pymysql(env, write)
     for member in env.fleet.endpoints.values():
         member.replica.apply_slowdown = 1e5
-    read = await env.read("t", env.ring.encode(env.ring.decode_text(token)))
+    read = await env.read("t", env.keyring.encode(env.keyring.decode_text(token)))
     assert rows(read) == ["one"]
     wrote = await env.write("t", rid="two")
-    given = env.ring.encode_text(env.ring.decode(wrote.causal_token))
+    token_text = env.keyring.encode_text(env.keyring.decode(wrote.causal_token))
 
     def see(connection: Any) -> Any:
-        ask(connection, f"set @@juniperreel_token = '{given}'")
-        return ask(connection, SELECT % "t")
+        execute(connection, f"set @@juniperreel_token = '{token_text}'")
+        return execute(connection, SELECT % "t")
 
-    assert await using(env, see) == (("one",), ("two",))
+    assert await run_pymysql(env, see) == (("one",), ("two",))
 
 
 async def test_values_of_all_kinds_come_back(env: Environment) -> None:
     text = "select 5, 0.25, 'née', null, count(*), coalesce(null, 'x') from runs"
-    row = (await using(env, lambda c: ask(c, text)))[0]
+    row = (await run_pymysql(env, lambda c: execute(c, text)))[0]
     assert row[:4] == (5, 0.25, "née", None) and row[5] == "x"
 
 
-async def test_a_write_survives_its_primary_and_takes_effect_once(env: Environment) -> None:
+async def test_write_survives_a_failover_and_takes_effect_once(env: Environment) -> None:
     old = env.primary
     old.faults.broken_connections = 1.0
 
-    async def end() -> None:
+    async def kill_primary() -> None:
         with trio.fail_after(10):
             while not env.commits("k"):
                 await trio.sleep(0.01)
@@ -99,10 +99,10 @@
         old.kill()
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(end)
+        nursery.start_soon(kill_primary)
         text = "insert into runs (runner, id) values ('k', 'k') /* rid k */"
-        shown = await using(env, lambda c: (ask(c, text), ask(c, SELECT % "k"))[1])
-    assert shown == (("k",),)
+        results = await run_pymysql(env, lambda c: (execute(c, text), execute(c, SELECT % "k"))[1])
+    assert results == (("k",),)
 
 
 @pytest.mark.parametrize(
@@ -125,82 +125,84 @@
         ("set @@juniperreel_token = 'forged'", 1231),
     ],
 )
-async def test_what_is_not_served_is_refused_by_name(env: Environment, text: str, code: int) -> None:
+async def test_unsupported_statement_is_rejected_with_its_error_code(
+    env: Environment, text: str, code: int
+) -> None:
     def work(connection: Any) -> None:
         with pytest.raises(pymysql.err.MySQLError) as refused:
-            ask(connection, text)
+            execute(connection, text)
         assert refused.value.args[0] == code, refused.value.args
-        assert ask(connection, "select 1") == ((1,),)  # the connection lives on
+        assert execute(connection, "select 1") == ((1,),)  # the connection stays open
 
-    await using(env, work)
+    await run_pymysql(env, work)
 
 
-async def test_refusals_name_the_wait_and_strangers_are_turned_away(env: Environment) -> None:
-    ahead = env.ring.encode_text(env.ring.decode(env.token(env.clock.now_us() + 3_600_000_000)))
+async def test_rejection_names_the_retry_after_and_wrong_password_is_rejected(env: Environment) -> None:
+    future_token = env.keyring.encode_text(env.keyring.decode(env.token(env.clock.now_us() + 3_600_000_000)))
 
     def work(connection: Any) -> None:
-        ask(connection, f"set @@juniperreel_token = '{ahead}'")
+        execute(connection, f"set @@juniperreel_token = '{future_token}'")
         with pytest.raises(pymysql.err.MySQLError) as refused:
-            ask(connection, "select 1")
+            execute(connection, "select 1")
         assert refused.value.args[0] == 1205 and "after 300 ms" in refused.value.args[1]
 
-    await using(env, work)
+    await run_pymysql(env, work)
     with pytest.raises(pymysql.err.OperationalError, match="Access denied"):
-        await using(env, lambda c: None, password="wrong")
+        await run_pymysql(env, lambda c: None, password="wrong")
 
 
-async def test_a_client_that_leaves_in_the_middle_ends_its_request(env: Environment) -> None:
+async def test_client_disconnect_ends_its_request(env: Environment) -> None:
     for member in env.fleet.endpoints.values():
         member.faults.hung = True
-    where = port(env)
+    edge_port = mysql_port(env)
 
-    def leave() -> None:
+    def disconnect() -> None:
         options: dict[str, Any] = {"user": "ada", "password": "love lace", "autocommit": True}
-        connection: Any = pymysql.connect(host="127.0.0.1", port=where, read_timeout=0.3, **options)
+        connection: Any = pymysql.connect(host="127.0.0.1", port=edge_port, read_timeout=0.3, **options)
         with pytest.raises(pymysql.err.OperationalError):
-            ask(connection, "select 1")
+            execute(connection, "select 1")
 
-    await trio.to_thread.run_sync(leave)
+    await trio.to_thread.run_sync(disconnect)
     with trio.fail_after(10):
         while env.edge.driver.open_requests:
             await trio.sleep(0.01)
 
 
-async def test_who_resets_its_connection_under_the_answer_costs_only_itself(env: Environment) -> None:
-    """Danger: what breaks one connection's task would end all others, and the edge."""
+async def test_connection_reset_during_answers_affects_no_other_client(env: Environment) -> None:
+    """Guards against an exception in one connection's task that ends all connections and the edge."""
     for _ in range(20):
-        client = MysqlClient(env.network, port(env), "ada", b"love lace")
+        client = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
         await client.query("select 1")
         stream = client._stream
         assert isinstance(stream, trio.SocketStream)
         many = b"".join(b"\x09\0\0\0\x03select 1" for _ in range(200))
         await stream.send_all(many)
-        # Lingering for no time: the socket is reset and not ended.
+        # With a linger time of zero, closing the socket sends a RST instead of a FIN.
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await client.close()
-    assert await using(env, lambda c: ask(c, "select 1")) == ((1,),)
+    assert await run_pymysql(env, lambda c: execute(c, "select 1")) == ((1,),)
     log = (env.folder / "edge.log").read_text()
     assert "failed inside" not in log
     assert "MySQL connection failed" not in log
     assert "raised unexpectedly" not in log
 
 
-async def test_connections_beyond_the_limit_are_told_so(env: Environment) -> None:
-    streams = [await trio.open_tcp_stream("127.0.0.1", port(env)) for _ in range(50)]
+async def test_connections_beyond_the_limit_are_rejected_with_an_error(env: Environment) -> None:
+    streams = [await trio.open_tcp_stream("127.0.0.1", mysql_port(env)) for _ in range(50)]
     for stream in streams:
         assert await stream.receive_some(1000)
     with pytest.raises(pymysql.err.OperationalError) as refused:
-        await using(env, lambda c: None)
+        await run_pymysql(env, lambda c: None)
     assert refused.value.args[0] == 1040
     for stream in streams:
         await stream.aclose()
 
 
-def connector(env: Environment, work: Callable[[Any], Any]) -> Any:
-    """mysql-connector-python in pure Python, with server-side prepared statements."""
+def run_connector(env: Environment, work: Callable[[Any], Any]) -> Any:
+    """Run `work` on a connection of mysql-connector-python, the pure Python implementation."""
     with mysql.connector.connect(
         host="127.0.0.1",
-        port=port(env),
+        port=mysql_port(env),
         user="ada",
         password="love lace",
         use_pure=True,
@@ -213,27 +215,27 @@
 
 async def test_prepared_statements_of_mysql_connector(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
-        seen = []
+        results = []
         insert, select = connection.cursor(prepared=True), connection.cursor(prepared=True)
         for n in range(5):
             insert.execute("insert into runs (runner, id) values (?, ?)", ("née ✓", f"w{n}"))
             select.execute("select id, number from runs where runner = ? order by number", ("née ✓",))
-            seen.append(select.fetchall())
+            results.append(select.fetchall())
         insert.execute("insert into runs (runner, id) values (%s, %s)", ("other", "x" * 100_000))
         select.execute("select length(id) from runs where runner = %s", ("other",))
-        seen.append(select.fetchall())
-        return seen
+        results.append(select.fetchall())
+        return results
 
     with trio.fail_after(60):
-        seen = await trio.to_thread.run_sync(connector, env, work)
-    assert [len(s) for s in seen[:5]] == [1, 2, 3, 4, 5]
-    assert [row[0] for row in seen[4]] == [f"w{n}" for n in range(5)]
-    assert all(isinstance(row[1], int) for row in seen[4])
-    assert seen[5] == [(100_000,)]
+        results = await trio.to_thread.run_sync(run_connector, env, work)
+    assert [len(s) for s in results[:5]] == [1, 2, 3, 4, 5]
+    assert [row[0] for row in results[4]] == [f"w{n}" for n in range(5)]
+    assert all(isinstance(row[1], int) for row in results[4])
+    assert results[5] == [(100_000,)]
 
 
-async def test_two_clients_prepare_other_texts_under_the_same_id(env: Environment) -> None:
-    """Ids count from one on each connection, and members die between executions."""
+async def test_clients_with_equal_statement_ids_execute_their_own_texts(env: Environment) -> None:
+    """Guards against mixing up statements, since the ids of each connection start at one."""
 
     def client(name: str) -> Callable[[Any], Any]:
         def work(connection: Any) -> Any:
@@ -249,7 +251,7 @@
     results: dict[str, Any] = {}
 
     async def run(name: str) -> None:
-        results[name] = await trio.to_thread.run_sync(connector, env, client(name))
+        results[name] = await trio.to_thread.run_sync(run_connector, env, client(name))
 
     with trio.fail_after(60):
         async with trio.open_nursery() as nursery:
@@ -259,7 +261,7 @@
         assert [(str(one), int(two)) for one, two in results[name]] == [(name, n) for n in range(10)]
 
 
-async def test_what_cannot_be_prepared_is_named(env: Environment) -> None:
+async def test_unsupported_statement_cannot_be_prepared(env: Environment) -> None:
     def work(connection: Any) -> list[int]:
         codes = []
         for text in ("select * from runs for update", "begin", "select 'open"):
@@ -270,47 +272,47 @@
         return codes
 
     with trio.fail_after(60):
-        codes = await trio.to_thread.run_sync(connector, env, work)
+        codes = await trio.to_thread.run_sync(run_connector, env, work)
     assert codes == [1235, 1235, 1235]
 
 
 async def test_the_fake_client_keeps_its_token_over_connections(env: Environment) -> None:
-    """The client that the scripted day plays, against lagging replicas and a connection that breaks."""
+    """The client of the scripted trials, against lagging replicas and after a reconnect."""
     with trio.fail_after(60):
-        one = MysqlClient(env.network, port(env), "ada", b"love lace")
+        one = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
         assert await one.query(
             "insert into runs (runner, id) values ('k', 'a') /* group 0 */"
         ) == QueryResult(affected=1)
-        told = await one.query("select @@juniperreel_token")
-        assert isinstance(told, QueryResult)
+        token_result = await one.query("select @@juniperreel_token")
+        assert isinstance(token_result, QueryResult)
         for member in env.fleet.endpoints.values():
             member.replica.apply_slowdown = 1e5
         await one.close()
-        other = MysqlClient(env.network, port(env), "ada", b"love lace")
-        assert await other.query(f"set @@juniperreel_token = '{told.rows[0][0]}'") == QueryResult()
+        other = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
+        assert await other.query(f"set @@juniperreel_token = '{token_result.rows[0][0]}'") == QueryResult()
         assert await other.query("select id, null from runs where runner = 'k'") == QueryResult([["a", None]])
         failed = await other.query("begin")
         assert isinstance(failed, QueryError) and failed.code == 1235
         await other.close()
         with pytest.raises(MysqlConnectionError) as caught:
-            await MysqlClient(env.network, port(env), "ada", b"wrong").query("select 1")
+            await MysqlClient(env.network, mysql_port(env), "ada", b"wrong").query("select 1")
         assert not caught.value.sent
 
 
-async def test_tls_of_two_clients_checked_against_the_authority(env: Environment) -> None:
+async def test_tls_clients_verify_the_certificate(env: Environment) -> None:
     authority = str(env.folder / "ca.crt")
 
     def work(connection: Any) -> Any:
-        ask(connection, INSERT % ("tls", "x" * 200_000))
-        return ask(connection, "select length(id) from runs where runner = 'tls'")
+        execute(connection, INSERT % ("tls", "x" * 200_000))
+        return execute(connection, "select length(id) from runs where runner = 'tls'")
 
     context = ssl.create_default_context(cafile=authority)
-    assert await using(env, work, ssl=context) == ((200_000,),)
+    assert await run_pymysql(env, work, ssl=context) == ((200_000,),)
 
     def other() -> Any:
         with mysql.connector.connect(
             host="127.0.0.1",
-            port=port(env),
+            port=mysql_port(env),
             user="ada",
             password="love lace",
             use_pure=True,
@@ -327,14 +329,16 @@
         assert await trio.to_thread.run_sync(other) == []
     strangers = ssl.create_default_context()
     with pytest.raises(pymysql.err.OperationalError):
-        await using(env, work, ssl=strangers)
-    assert await using(env, lambda c: ask(c, "select 1")) == ((1,),), "and those without go on"
+        await run_pymysql(env, work, ssl=strangers)
+    assert await run_pymysql(env, lambda c: execute(c, "select 1")) == ((1,),), (
+        "clients without TLS must be served too"
+    )
 
 
-async def test_a_peer_that_asks_for_tls_and_speaks_none_is_dropped(env: Environment) -> None:
+async def test_client_that_requests_tls_without_a_handshake_is_disconnected(env: Environment) -> None:
     with trio.fail_after(60):
         for after in (b"", b"GET / HTTP/1.1\r\n\r\n" * 20, b"\x16\x03\x01\x00\x05hello"):
-            stream = await trio.open_tcp_stream("127.0.0.1", port(env))
+            stream = await trio.open_tcp_stream("127.0.0.1", mysql_port(env))
             await stream.receive_some(4096)
             capabilities = (0x1 | 0x200 | 0x800 | 0x8000 | 0x80000).to_bytes(4, "little")
             await stream.send_all(b"\x20\0\0\x01" + capabilities + bytes(28) + after)
@@ -344,4 +348,4 @@
                     pass
             except trio.BrokenResourceError:
                 pass
-        assert await using(env, lambda c: ask(c, "select 1")) == ((1,),)
+        assert await run_pymysql(env, lambda c: execute(c, "select 1")) == ((1,),)
--- a/tests/e2e/test_pool_soak.py
+++ b/tests/e2e/test_pool_soak.py
@@ -1,4 +1,4 @@
-"""A small form of `benchmarks/pool_soak.py`, under killed connections; and with faults that it must find."""
+"""Short runs of `benchmarks/pool_soak.py`: with killed connections, and with defects that it must find."""
 
 from __future__ import annotations
 
@@ -24,22 +24,20 @@
 async def test_missing_replay_of_session_state_is_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def replay_nothing(
-        _self: MysqlEndpoints, backend: BackendConnection, attempt: AttemptRequest
-    ) -> None:
+    async def skip_replay(_self: MysqlEndpoints, backend: BackendConnection, attempt: AttemptRequest) -> None:
         backend.session_state = attempt.request.session_state
 
-    monkeypatch.setattr(MysqlEndpoints, "_replay", replay_nothing)
+    monkeypatch.setattr(MysqlEndpoints, "_replay", skip_replay)
     with trio.fail_after(120):
         violations, _ = await soak(tmp_path, 300, 30, 2, seed=7)
     assert any("its session has" in violation for violation in violations)
 
 
-async def test_confused_statement_ids_are_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def any_id(self: PreparedStatementCache, _key: StatementKey) -> int | None:
+async def test_mixed_up_statement_ids_are_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def return_latest_id(self: PreparedStatementCache, _key: StatementKey) -> int | None:
         return next(reversed(self._ids.values()), None)
 
-    monkeypatch.setattr(PreparedStatementCache, "get", any_id)
+    monkeypatch.setattr(PreparedStatementCache, "get", return_latest_id)
     with trio.fail_after(120):
         violations, _ = await soak(tmp_path, 300, 30, 2, seed=7)
     assert any("intended as" in violation for violation in violations)
--- a/tests/e2e/test_transactions.py
+++ b/tests/e2e/test_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions through the edge to members that speak MySQL, with everything that can end one in between."""
+"""Transactions through the edge to endpoints that speak MySQL, and every event that can end them early."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 from juniperreel.proxy.mysql_endpoints import MysqlEndpoints
 from juniperreel.rpc.status import Code, RpcError
 from tests.e2e.environment import Environment, rows
-from tests.e2e.test_mysql import INSERT, SELECT, ask, connector, port, using
+from tests.e2e.test_mysql import INSERT, SELECT, execute, mysql_port, run_connector, run_pymysql
 
-COUNT = "select count(*) from runs where runner = '%s'"
-STOPPING = 1053  # the error code of a server that ends
-MANY = "with recursive n (i) as (select 1 union all select i + 1 from n where i < %d) select i from n"
+COUNT_QUERY = "select count(*) from runs where runner = '%s'"
+SERVER_SHUTDOWN = 1053  # MySQL's error code ER_SERVER_SHUTDOWN
+NUMBERS_QUERY = (
+    "with recursive n (i) as (select 1 union all select i + 1 from n where i < %d) select i from n"
+)
 
-WIDE = MANY.replace("select i from", f"select i, '{'x' * 1000}' from")  # fills the sockets' buffers soon
+# Wide rows fill socket buffers quickly.
+WIDE_ROWS_QUERY = NUMBERS_QUERY.replace("select i from", f"select i, '{'x' * 1000}' from")
 
 
 @pytest.fixture
@@ -34,47 +37,47 @@
     return started
 
 
-def links(env: Environment) -> MysqlEndpoints:
-    found = env.edge.driver.endpoints
-    assert isinstance(found, MysqlEndpoints)
-    return found
+def mysql_endpoints(env: Environment) -> MysqlEndpoints:
+    endpoints = env.edge.driver.endpoints
+    assert isinstance(endpoints, MysqlEndpoints)
+    return endpoints
 
 
-async def until(what: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     with trio.fail_after(20):
-        while not what():
+        while not condition():
             await trio.sleep(0.01)
 
 
-def code_of(connection: Any, text: str) -> int:
-    """The error that a statement ends with; 0 for none."""
+def error_code(connection: Any, text: str) -> int:
+    """Execute a statement and return its error code, or 0."""
     try:
-        ask(connection, text)
+        execute(connection, text)
     except pymysql.err.MySQLError as error:
         return int(error.args[0])
     return 0
 
 
-# The plain way.
+# Transactions and sessions without faults.
 
 
-async def test_both_fronts_reach_members_that_speak_mysql(env: Environment) -> None:
+async def test_both_front_ends_reach_endpoints_that_speak_mysql(env: Environment) -> None:
     wrote = await env.write("g", rid="one")
     assert wrote.member == env.primary.name and wrote.role == 1
 
     def work(connection: Any) -> Any:
-        token = env.ring.encode_text(env.ring.decode(wrote.causal_token))
-        ask(connection, f"set @@juniperreel_token = '{token}'")
-        seen = [ask(connection, SELECT % "g")]
-        ask(connection, INSERT % ("g", "two"))
-        seen.append(ask(connection, SELECT % "g"))
-        return seen, ask(connection, "select @@juniperreel_token")[0][0]
-
-    seen, token = await using(env, work)
-    assert seen == [(("one",),), (("one",), ("two",))]
-    assert rows(await env.read("g", env.ring.encode(env.ring.decode_text(token)))) == ["one", "two"]
+        token = env.keyring.encode_text(env.keyring.decode(wrote.causal_token))
+        execute(connection, f"set @@juniperreel_token = '{token}'")
+        results = [execute(connection, SELECT % "g")]
+        execute(connection, INSERT % ("g", "two"))
+        results.append(execute(connection, SELECT % "g"))
+        return results, execute(connection, "select @@juniperreel_token")[0][0]
+
+    results, token = await run_pymysql(env, work)
+    assert results == [(("one",),), (("one",), ("two",))]
+    assert rows(await env.read("g", env.keyring.encode(env.keyring.decode_text(token)))) == ["one", "two"]
     members = {(await env.read("g", cls="board")).member for _ in range(30)}
-    assert len(members - {env.primary.name}) == 2, "replicas take the reads"
+    assert len(members - {env.primary.name}) == 2, "both replicas must serve reads"
 
 
 async def test_own_writes_are_seen_while_replicas_lag(env: Environment) -> None:
@@ -82,172 +85,178 @@
         member.replica.apply_slowdown = 1e5
 
     def work(connection: Any) -> list[int]:
-        seen = []
+        results = []
         for n in range(3):
-            ask(connection, INSERT % ("lag", f"w{n}"))
-            seen.append(len(ask(connection, SELECT % "lag")))
+            execute(connection, INSERT % ("lag", f"w{n}"))
+            results.append(len(execute(connection, SELECT % "lag")))
             connection.begin()
-            ask(connection, INSERT % ("lag", f"t{n}"))
+            execute(connection, INSERT % ("lag", f"t{n}"))
             connection.commit()
-            seen.append(len(ask(connection, SELECT % "lag")))
-        return seen
+            results.append(len(execute(connection, SELECT % "lag")))
+        return results
 
-    assert await using(env, work) == [1, 2, 3, 4, 5, 6]
+    assert await run_pymysql(env, work) == [1, 2, 3, 4, 5, 6]
 
 
 async def test_values_of_all_kinds_and_prepared_statements(env: Environment) -> None:
     text = "select 5, 0.25, 'née', null, x'00ff', -9223372036854775808"
-    (row,) = await using(env, lambda c: ask(c, text))
+    (row,) = await run_pymysql(env, lambda c: execute(c, text))
     assert row[:5] == (5, 0.25, "née", None, b"\x00\xff") and int(row[5]) == -(1 << 63)
 
     def work(connection: Any) -> list[Any]:
-        seen = []
+        results = []
         insert, select = connection.cursor(prepared=True), connection.cursor(prepared=True)
         for n in range(20):
             insert.execute("insert into runs (runner, id) values (?, ?)", ("née ✓", f"w{n}"))
             select.execute("select id, number from runs where runner = ? order by number", ("née ✓",))
-            seen.append(len(select.fetchall()))
+            results.append(len(select.fetchall()))
         insert.execute("insert into runs (runner, id) values (?, ?)", ("long", "x" * 100_000))
         select.execute("select length(id), 0.5, null, x'00' from runs where runner = ?", ("long",))
-        return [seen, select.fetchall()]
+        return [results, select.fetchall()]
 
     with trio.fail_after(60):
-        seen, last = await trio.to_thread.run_sync(connector, env, work)
-    assert seen == list(range(1, 21))
+        results, last = await trio.to_thread.run_sync(run_connector, env, work)
+    assert results == list(range(1, 21))
     assert last == [(100_000, 0.5, None, b"\x00")]
     primary = env.primary.mysql
-    # Three texts: reads come to the primary as well where no replica is known to have the write yet.
-    assert primary.prepared <= 3 * primary.opened, "each text once on a connection, not once for each use"
+    # There are three texts: the primary also serves reads while no replica is known to have the write.
+    assert primary.prepared <= 3 * primary.opened, (
+        "a connection must prepare each text once, not for each use"
+    )
 
 
-async def test_a_transaction_is_whole_or_not_at_all(env: Environment) -> None:
+async def test_transaction_is_atomic(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
-        seen = []
+        results = []
         other = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
         connection.begin()
-        ask(connection, INSERT % ("t", "one"))
-        ask(connection, "savepoint a")
-        ask(connection, INSERT % ("t", "two"))
-        seen.append(ask(connection, SELECT % "t"))
-        ask(connection, "rollback to savepoint a")
-        seen.append(ask(other, COUNT % "t")[0][0])
+        execute(connection, INSERT % ("t", "one"))
+        execute(connection, "savepoint a")
+        execute(connection, INSERT % ("t", "two"))
+        results.append(execute(connection, SELECT % "t"))
+        execute(connection, "rollback to savepoint a")
+        results.append(execute(other, COUNT_QUERY % "t")[0][0])
         connection.commit()
-        token = ask(connection, "select @@juniperreel_token")[0][0]
-        ask(other, f"set @@juniperreel_token = '{token}'")
-        seen.append(ask(other, SELECT % "t"))
+        token = execute(connection, "select @@juniperreel_token")[0][0]
+        execute(other, f"set @@juniperreel_token = '{token}'")
+        results.append(execute(other, SELECT % "t"))
         connection.begin()
-        ask(connection, INSERT % ("t", "three"))
+        execute(connection, INSERT % ("t", "three"))
         connection.rollback()
-        seen.append(ask(connection, SELECT % "t"))
+        results.append(execute(connection, SELECT % "t"))
         other.close()
-        return seen
+        return results
 
-    assert await using(env, work) == [(("one",), ("two",)), 0, (("one",),), (("one",),)]
-    assert not links(env).open_transactions()
+    assert await run_pymysql(env, work) == [(("one",), ("two",)), 0, (("one",),), (("one",),)]
+    assert not mysql_endpoints(env).open_transactions()
 
 
 async def test_autocommit_off_begins_with_each_statement_and_implicit_commits_count(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
-        seen = []
-        ask(connection, INSERT % ("a", "one"))
+        results = []
+        execute(connection, INSERT % ("a", "one"))
         connection.rollback()
-        seen.append(ask(connection, COUNT % "a")[0][0])
-        ask(connection, INSERT % ("a", "two"))
-        ask(connection, "begin")  # commits what is open
-        ask(connection, INSERT % ("a", "three"))
-        ask(connection, "create table more (a integer)")  # and so does this
+        results.append(execute(connection, COUNT_QUERY % "a")[0][0])
+        execute(connection, INSERT % ("a", "two"))
+        execute(connection, "begin")  # commits the open transaction
+        execute(connection, INSERT % ("a", "three"))
+        execute(connection, "create table more (a integer)")  # commits implicitly, too
         connection.rollback()
-        seen.append(ask(connection, COUNT % "a")[0][0])
-        ask(connection, INSERT % ("a", "four"))
-        ask(connection, "set autocommit = 1")
-        seen.append(ask(connection, COUNT % "a")[0][0])
-        seen.append(ask(connection, "select @@autocommit")[0][0])
-        return seen
+        results.append(execute(connection, COUNT_QUERY % "a")[0][0])
+        execute(connection, INSERT % ("a", "four"))
+        execute(connection, "set autocommit = 1")
+        results.append(execute(connection, COUNT_QUERY % "a")[0][0])
+        results.append(execute(connection, "select @@autocommit")[0][0])
+        return results
 
-    assert await using(env, work, autocommit=False) == [0, 2, 3, 1]
+    assert await run_pymysql(env, work, autocommit=False) == [0, 2, 3, 1]
 
 
-async def test_a_read_only_transaction_goes_to_a_replica_that_holds_the_token(env: Environment) -> None:
+async def test_read_only_transaction_runs_on_a_replica_that_satisfies_the_token(env: Environment) -> None:
     arrived: list[str] = []
     for member in env.fleet.endpoints.values():
-        member.capacity.draw_work_us = noting(member.capacity.draw_work_us, arrived, member.name)  # type: ignore
+        member.capacity.draw_work_us = record_arrivals(member.capacity.draw_work_us, arrived, member.name)  # type: ignore
 
     def work(connection: Any) -> Any:
-        ask(connection, INSERT % ("ro", "one"))
+        execute(connection, INSERT % ("ro", "one"))
         arrived.clear()
-        seen = []
+        results = []
         for _ in range(8):
-            ask(connection, "start transaction read only")
-            seen.append(ask(connection, SELECT % "ro"))
-            assert code_of(connection, INSERT % ("ro", "no")) == 1792
-            seen.append(ask(connection, SELECT % "ro"))
+            execute(connection, "start transaction read only")
+            results.append(execute(connection, SELECT % "ro"))
+            assert error_code(connection, INSERT % ("ro", "no")) == 1792
+            results.append(execute(connection, SELECT % "ro"))
             connection.commit()
-        return seen
+        return results
 
-    assert await using(env, work) == [(("one",),)] * 16
-    assert set(arrived) - {env.primary.name}, "some went to replicas"
+    assert await run_pymysql(env, work) == [(("one",),)] * 16
+    assert set(arrived) - {env.primary.name}, "no replica served a read-only transaction"
 
 
-def noting(draw: Callable[[int], int], arrived: list[str], name: str) -> Callable[[int], int]:
-    def drawn(mean: int) -> int:
+def record_arrivals(
+    draw_work_us: Callable[[int], int], arrived: list[str], name: str
+) -> Callable[[int], int]:
+    def draw_and_record(mean: int) -> int:
         arrived.append(name)
-        return draw(mean)
+        return draw_work_us(mean)
 
-    return drawn
+    return draw_and_record
 
 
-async def test_what_a_session_has_set_goes_with_it_and_with_nobody_else(env: Environment) -> None:
+async def test_session_variables_are_replayed_for_their_session_only(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         other = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
-        seen: list[Any] = []
-        ask(connection, "set @a = 5, sql_mode = 'ANSI_QUOTES'")
-        ask(other, "set time_zone = '+01:00'")
+        results: list[Any] = []
+        execute(connection, "set @a = 5, sql_mode = 'ANSI_QUOTES'")
+        execute(other, "set time_zone = '+01:00'")
         for _ in range(5):
-            seen.append(ask(connection, "select @a, @@sql_mode, @@time_zone")[0])
-            seen.append(ask(other, "select @a, @@sql_mode, @@time_zone")[0])
-        ask(connection, "set @a = null, sql_mode = default")
-        seen.append(ask(connection, "select @a, @@sql_mode, @@time_zone")[0])
-        seen.append(code_of(connection, "set sql_mode = 'NONSENSE'"))
-        seen.append(ask(connection, "select @@sql_mode")[0][0] == seen[-2][1])
+            results.append(execute(connection, "select @a, @@sql_mode, @@time_zone")[0])
+            results.append(execute(other, "select @a, @@sql_mode, @@time_zone")[0])
+        execute(connection, "set @a = null, sql_mode = default")
+        results.append(execute(connection, "select @a, @@sql_mode, @@time_zone")[0])
+        results.append(error_code(connection, "set sql_mode = 'NONSENSE'"))
+        results.append(execute(connection, "select @@sql_mode")[0][0] == results[-2][1])
         other.close()
-        return seen
+        return results
 
     normal = "ONLY_FULL_GROUP_BY,STRICT_TRANS_TABLES"
     mine, theirs = (5, "ANSI_QUOTES", "SYSTEM"), (None, normal, "+01:00")
-    assert await using(env, work) == [*[mine, theirs] * 5, (None, normal, "SYSTEM"), 1231, True]
-    assert links(env).statements_replayed
+    assert await run_pymysql(env, work) == [*[mine, theirs] * 5, (None, normal, "SYSTEM"), 1231, True]
+    assert mysql_endpoints(env).statements_replayed
 
 
-async def test_last_insert_ids_are_a_session_s_own_wherever_it_runs(env: Environment) -> None:
+async def test_last_insert_ids_belong_to_their_session_on_any_connection(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         other = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
-        seen: list[Any] = []
+        results: list[Any] = []
         for n in range(4):
-            ask(connection, INSERT % ("i", f"mine{n}"))
-            ask(other, INSERT % ("i", f"other{n}"))
-            mine = ask(connection, "select last_insert_id()")[0][0]
-            (row,) = ask(connection, "select id from runs where runner = 'i' and number = last_insert_id()")
-            seen.append((row[0], ask(connection, "select last_insert_id() + 0")[0][0] == mine))
+            execute(connection, INSERT % ("i", f"mine{n}"))
+            execute(other, INSERT % ("i", f"other{n}"))
+            mine = execute(connection, "select last_insert_id()")[0][0]
+            (row,) = execute(
+                connection, "select id from runs where runner = 'i' and number = last_insert_id()"
+            )
+            results.append((row[0], execute(connection, "select last_insert_id() + 0")[0][0] == mine))
         connection.begin()
-        ask(connection, "select 1")
-        seen.append(ask(connection, "select last_insert_id() + 0")[0][0] == mine)
-        ask(connection, INSERT % ("i", "last"))
-        seen.append(ask(connection, "select last_insert_id() + 0")[0][0] > mine)
+        execute(connection, "select 1")
+        results.append(execute(connection, "select last_insert_id() + 0")[0][0] == mine)
+        execute(connection, INSERT % ("i", "last"))
+        results.append(execute(connection, "select last_insert_id() + 0")[0][0] > mine)
         connection.commit()
-        seen.append(code_of(connection, "select row_count()"))
+        results.append(error_code(connection, "select row_count()"))
         other.close()
-        return seen
+        return results
 
-    assert await using(env, work) == [*[(f"mine{n}", True) for n in range(4)], True, True, 1235]
+    assert await run_pymysql(env, work) == [*[(f"mine{n}", True) for n in range(4)], True, True, 1235]
 
 
-async def test_a_text_that_was_prepared_under_another_sql_mode_is_not_run(env: Environment) -> None:
+async def test_text_prepared_under_another_sql_mode_is_not_executed(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         cursor = connection.cursor(prepared=True)
         cursor.execute("select id from runs where runner = ?", ("nobody",))
@@ -264,34 +273,34 @@
         return [*codes, cursor.fetchall()]
 
     with trio.fail_after(60):
-        assert await trio.to_thread.run_sync(connector, env, work) == [1615, []]
+        assert await trio.to_thread.run_sync(run_connector, env, work) == [1615, []]
 
 
-async def test_what_is_set_in_a_transaction_outlives_its_rollback(env: Environment) -> None:
+async def test_variables_set_in_a_transaction_survive_its_rollback(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        ask(connection, INSERT % ("sv", "gone"))
-        ask(connection, "set @a = 7, sql_mode = 'ANSI_QUOTES'")
-        seen = [ask(connection, "select @a, @@sql_mode")[0]]
+        execute(connection, INSERT % ("sv", "gone"))
+        execute(connection, "set @a = 7, sql_mode = 'ANSI_QUOTES'")
+        results = [execute(connection, "select @a, @@sql_mode")[0]]
         connection.rollback()
-        seen.append(ask(connection, "select @a, @@sql_mode")[0])
-        seen.append(ask(connection, COUNT % "sv")[0][0])
-        return seen
+        results.append(execute(connection, "select @a, @@sql_mode")[0])
+        results.append(execute(connection, COUNT_QUERY % "sv")[0][0])
+        return results
 
-    assert await using(env, work) == [(7, "ANSI_QUOTES"), (7, "ANSI_QUOTES"), 0]
-    # And nobody else has it.
-    assert (await using(env, lambda c: ask(c, "select @a")))[0][0] is None
+    assert await run_pymysql(env, work) == [(7, "ANSI_QUOTES"), (7, "ANSI_QUOTES"), 0]
+    # Another session must not see the variables.
+    assert (await run_pymysql(env, lambda c: execute(c, "select @a")))[0][0] is None
 
 
-async def test_a_replay_that_is_broken_off_leaves_no_connection_behind(env: Environment) -> None:
-    """Danger: a connection of which nobody knows how far it is would be lent to somebody else."""
-    found = links(env)
+async def test_interrupted_replay_discards_its_connection(env: Environment) -> None:
+    """Guards against reusing a connection whose replay of session state was interrupted."""
+    endpoints = mysql_endpoints(env)
     exchange = BackendConnection.exchange
-    stuck = trio.Event()
+    replay_started = trio.Event()
 
-    async def hangs(self: BackendConnection, steps: Any, *rest: Any, **more: Any) -> Any:
+    async def hang_during_replay(self: BackendConnection, steps: Any, *rest: Any, **more: Any) -> Any:
         if steps[0].text.startswith(b"set "):
-            stuck.set()
+            replay_started.set()
             with trio.CancelScope() as scope:
                 try:
                     await trio.sleep_forever()
@@ -300,23 +309,23 @@
                     self.close()
         return await exchange(self, steps, *rest, **more)
 
-    def leave() -> None:
+    def disconnect() -> None:
         connection: Any = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
         connection._execute_command(3, "set @a = 1")
-        trio.from_thread.run(stuck.wait)
+        trio.from_thread.run(replay_started.wait)
         connection._force_close()
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(BackendConnection, "exchange", hangs)
-        await trio.to_thread.run_sync(leave)
-        await until(lambda: not any(p.leased or p.waiting for p in found.pools().values()))
-    assert (await using(env, lambda c: ask(c, "select @a")))[0][0] is None
+        patch.setattr(BackendConnection, "exchange", hang_during_replay)
+        await trio.to_thread.run_sync(disconnect)
+        await wait_until(lambda: not any(p.leased or p.waiting for p in endpoints.pools().values()))
+    assert (await run_pymysql(env, lambda c: execute(c, "select @a")))[0][0] is None
 
 
-async def test_few_connections_serve_many_sessions_and_refuse_none_that_can_wait(env: Environment) -> None:
-    for pool in links(env).pools().values():
+async def test_few_connections_serve_many_sessions_without_rejections(env: Environment) -> None:
+    for pool in mysql_endpoints(env).pools().values():
         pool.config = replace(pool.config, max_connections=2)
         limiter = pool._open_limiter
         limiter._max_connections = 2
@@ -324,151 +333,157 @@
 
     def work(connection: Any) -> int:
         for n in range(5):
-            ask(connection, f"set @n = {n}")
+            execute(connection, f"set @n = {n}")
             connection.begin()
-            ask(connection, INSERT % ("few", "x"))
-            assert ask(connection, "select @n") == ((n,),)
+            execute(connection, INSERT % ("few", "x"))
+            assert execute(connection, "select @n") == ((n,),)
             connection.commit()
         return 5
 
     async with trio.open_nursery() as nursery:
         for _ in range(12):
-            nursery.start_soon(using, env, work)
-    assert (await using(env, lambda c: ask(c, COUNT % "few")))[0][0] == 60
-    assert all(m.mysql.connections <= 3 for m in env.fleet.endpoints.values()), "two, and one for reports"
-    assert not any(p.leased or p.waiting for p in links(env).pools().values())
+            nursery.start_soon(run_pymysql, env, work)
+    assert (await run_pymysql(env, lambda c: execute(c, COUNT_QUERY % "few")))[0][0] == 60
+    # Two connections of the pool, and one for load reports.
+    assert all(m.mysql.connections <= 3 for m in env.fleet.endpoints.values()), "too many connections"
+    assert not any(p.leased or p.waiting for p in mysql_endpoints(env).pools().values())
 
 
-async def test_statements_at_fault_leave_the_transaction_open(env: Environment) -> None:
+async def test_statement_errors_leave_the_transaction_open(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        codes = [code_of(connection, "select * from nowhere")]
-        ask(connection, INSERT % ("f", "one"))
-        codes.append(code_of(connection, "insert into runs (number, runner, id) values (1, 'f', 'x')"))
-        codes.append(code_of(connection, "rollback to savepoint none"))
+        codes = [error_code(connection, "select * from nowhere")]
+        execute(connection, INSERT % ("f", "one"))
+        codes.append(error_code(connection, "insert into runs (number, runner, id) values (1, 'f', 'x')"))
+        codes.append(error_code(connection, "rollback to savepoint none"))
         connection.commit()
-        return [*codes, ask(connection, SELECT % "f")]
+        return [*codes, execute(connection, SELECT % "f")]
 
-    assert await using(env, work) == [1146, 1062, 1305, (("one",),)]
+    assert await run_pymysql(env, work) == [1146, 1062, 1305, (("one",),)]
 
 
-# What ends one in between.
+# Events that end a transaction early.
 
 
-async def test_a_member_that_dies_undoes_the_transaction_and_says_so(
+async def test_endpoint_failure_rolls_back_the_transaction_with_an_error(
     env: Environment, nursery: trio.Nursery
 ) -> None:
-    told: list[Any] = []
-    going, gone = trio.Event(), trio.Event()
+    codes: list[Any] = []
+    transaction_begun, transaction_ended = trio.Event(), trio.Event()
 
     def work(connection: Any) -> None:
         connection.begin()
-        ask(connection, INSERT % ("x", "one"))
-        trio.from_thread.run_sync(going.set)
-        trio.from_thread.run(gone.wait)
-        told.append(code_of(connection, INSERT % ("x", "two")))
-        told.append(code_of(connection, "select 1"))
+        execute(connection, INSERT % ("x", "one"))
+        trio.from_thread.run_sync(transaction_begun.set)
+        trio.from_thread.run(transaction_ended.wait)
+        codes.append(error_code(connection, INSERT % ("x", "two")))
+        codes.append(error_code(connection, "select 1"))
 
     async with trio.open_nursery() as inner:
-        inner.start_soon(using, env, work)
-        await going.wait()
+        inner.start_soon(run_pymysql, env, work)
+        await transaction_begun.wait()
         env.primary.kill()
-        await until(
-            lambda: not links(env).open_transactions() or any(h._backend.close_reason for h in held(env))
+        await wait_until(
+            lambda: (
+                not mysql_endpoints(env).open_transactions()
+                or any(h._backend.close_reason for h in transactions_of(env))
+            )
         )
-        gone.set()
-    assert told == [1213, 0]
-    await until(lambda: not links(env).open_transactions())
+        transaction_ended.set()
+    assert codes == [1213, 0]
+    await wait_until(lambda: not mysql_endpoints(env).open_transactions())
 
 
-def held(env: Environment) -> list[Any]:
-    return list(links(env).open_transactions())
+def transactions_of(env: Environment) -> list[Any]:
+    return list(mysql_endpoints(env).open_transactions())
 
 
-async def test_a_commit_that_breaks_off_is_told_as_unknown_and_not_sent_again(env: Environment) -> None:
+async def test_interrupted_commit_is_reported_as_unknown_and_not_retried(env: Environment) -> None:
     def work(connection: Any) -> list[int]:
         connection.begin()
-        ask(connection, INSERT % ("c", "one") + " /* rid c1 */")
+        execute(connection, INSERT % ("c", "one") + " /* rid c1 */")
         trio.from_thread.run_sync(setattr, env.primary.faults, "broken_connections", 1.0)
-        code = code_of(connection, "commit")
+        code = error_code(connection, "commit")
         trio.from_thread.run_sync(setattr, env.primary.faults, "broken_connections", 0.0)
-        return [code, code_of(connection, "select 1")]
+        return [code, error_code(connection, "select 1")]
 
-    assert await using(env, work) == [1105, 0]
+    assert await run_pymysql(env, work) == [1105, 0]
     assert len(env.commits("c1")) <= 1
 
 
-async def test_a_write_whose_member_dies_before_its_ok_is_unknown_and_not_sent_again(
+async def test_write_without_an_answer_is_reported_as_unknown_and_not_retried(
     env: Environment,
 ) -> None:
     def work(connection: Any) -> int:
         trio.from_thread.run_sync(setattr, env.primary.faults, "broken_connections", 1.0)
-        code = code_of(connection, INSERT % ("w", "one") + " /* rid w1 */")
+        code = error_code(connection, INSERT % ("w", "one") + " /* rid w1 */")
         trio.from_thread.run_sync(setattr, env.primary.faults, "broken_connections", 0.0)
         return code
 
-    assert await using(env, work) == 1105
+    assert await run_pymysql(env, work) == 1105
     assert len(env.commits("w1")) == 1
 
 
-async def test_a_transaction_that_takes_too_long_is_undone(env: Environment) -> None:
-    """Half of the drain's grace of two seconds."""
-    gone = trio.Event()
+async def test_transaction_that_exceeds_its_time_limit_is_rolled_back(env: Environment) -> None:
+    """The time limit of a transaction is half of the drain grace, which is two seconds here."""
+    transaction_ended = trio.Event()
 
     async def wait() -> None:
-        await until(lambda: not links(env).open_transactions())
-        gone.set()
+        await wait_until(lambda: not mysql_endpoints(env).open_transactions())
+        transaction_ended.set()
 
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        ask(connection, INSERT % ("l", "one"))
+        execute(connection, INSERT % ("l", "one"))
         trio.from_thread.run(wait)
-        codes = [code_of(connection, INSERT % ("l", "two"))]
+        codes = [error_code(connection, INSERT % ("l", "two"))]
         connection.commit()
-        return [*codes, ask(connection, COUNT % "l")[0][0]]
+        return [*codes, execute(connection, COUNT_QUERY % "l")[0][0]]
 
-    assert await using(env, work) == [1213, 0]
+    assert await run_pymysql(env, work) == [1213, 0]
 
 
-async def test_a_member_that_leaves_takes_its_transactions_with_it(env: Environment) -> None:
+async def test_removed_endpoint_ends_its_transactions(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        ask(connection, INSERT % ("r", "one"))
-        trio.from_thread.run_sync(links(env).remove, env.primary.name)
-        return [code_of(connection, INSERT % ("r", "two")), code_of(connection, "rollback")]
+        execute(connection, INSERT % ("r", "one"))
+        trio.from_thread.run_sync(mysql_endpoints(env).remove, env.primary.name)
+        return [error_code(connection, INSERT % ("r", "two")), error_code(connection, "rollback")]
 
-    assert await using(env, work) == [1213, 0]
+    assert await run_pymysql(env, work) == [1213, 0]
 
 
-async def test_a_client_that_leaves_undoes_its_transaction(env: Environment) -> None:
-    def leave() -> None:
-        connection: Any = pymysql.connect(host="127.0.0.1", port=port(env), user="ada", password="love lace")
+async def test_client_disconnect_rolls_back_its_transaction(env: Environment) -> None:
+    def disconnect() -> None:
+        connection: Any = pymysql.connect(
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace"
+        )
         connection.begin()
-        ask(connection, INSERT % ("v", "one"))
+        execute(connection, INSERT % ("v", "one"))
         connection._sock.close()
 
-    await trio.to_thread.run_sync(leave)
-    await until(lambda: not links(env).open_transactions())
-    assert (await using(env, lambda c: ask(c, COUNT % "v")))[0][0] == 0
-    await until(lambda: not env.primary.write_lock.locked())
+    await trio.to_thread.run_sync(disconnect)
+    await wait_until(lambda: not mysql_endpoints(env).open_transactions())
+    assert (await run_pymysql(env, lambda c: execute(c, COUNT_QUERY % "v")))[0][0] == 0
+    await wait_until(lambda: not env.primary.write_lock.locked())
 
 
-async def test_a_deadlock_or_lock_wait_is_told_as_the_member_told_it(env: Environment) -> None:
+async def test_lock_wait_timeout_is_reported_with_the_endpoint_s_error(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         other = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
         connection.begin()
-        ask(connection, "select * from runs for update")
-        code = code_of(other, INSERT % ("k", "other"))
+        execute(connection, "select * from runs for update")
+        code = error_code(other, INSERT % ("k", "other"))
         other.close()
-        return [code, ask(connection, COUNT % "k")[0][0]]
+        return [code, execute(connection, COUNT_QUERY % "k")[0][0]]
 
-    code, count = await using(env, work)
+    code, count = await run_pymysql(env, work)
     assert (code, count) == (1205, 0)
 
 
-async def test_a_promotion_between_two_statements_ends_what_was_begun_before(env: Environment) -> None:
+async def test_promotion_between_two_statements_ends_the_transaction(env: Environment) -> None:
     old = env.primary
 
     async def promote() -> None:
@@ -476,53 +491,53 @@
 
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        ask(connection, INSERT % ("p", "one"))
+        execute(connection, INSERT % ("p", "one"))
         trio.from_thread.run(promote)
-        codes = [code_of(connection, "commit")]
+        codes = [error_code(connection, "commit")]
         while True:
-            code = code_of(connection, INSERT % ("p", "two"))
+            code = error_code(connection, INSERT % ("p", "two"))
             if not code:
                 break
             codes.append(code)
-        return [codes, ask(connection, SELECT % "p")]
+        return [codes, execute(connection, SELECT % "p")]
 
-    codes, seen = await using(env, work)
+    codes, results = await run_pymysql(env, work)
     assert codes[0] in (1105, 1213) and set(codes[1:]) <= {1205}
-    assert seen == (("two",),), "nothing of the old primary's transaction is there"
+    assert results == (("two",),), "the old primary's transaction must have no effect"
 
 
-async def test_a_stop_lets_transactions_finish(env: Environment) -> None:
+async def test_shutdown_lets_transactions_finish(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         connection.begin()
-        ask(connection, INSERT % ("s", "one") + " /* rid s1 */")
+        execute(connection, INSERT % ("s", "one") + " /* rid s1 */")
         trio.from_thread.run_sync(env.edge.stop)
-        ask(connection, INSERT % ("s", "two"))
+        execute(connection, INSERT % ("s", "two"))
         connection.commit()
         try:
-            return [code_of(connection, "select 1")]
+            return [error_code(connection, "select 1")]
         except Exception as error:
             return [error]
 
-    (last,) = await using(env, work)
+    (last,) = await run_pymysql(env, work)
     assert last in (1053, 2006, 2013) or isinstance(last, Exception)
     with trio.fail_after(20):
         await env.edge.ended.wait()
     assert len(env.commits("s1")) == 1
 
 
-async def test_a_stop_waits_until_an_answer_has_left(
+async def test_shutdown_waits_until_an_answer_is_sent(
     env: Environment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client reads slowly: the command has ended, and its answer is not yet out."""
+    """The client reads slowly: the command is finished, but its answer is not sent yet."""
     flush = Connection._flush
-    answering = trio.Event()
+    answer_started = trio.Event()
     stopped = trio.Event()
     frontend = env.edge.mysql
     assert frontend is not None
 
     async def slow_flush(connection: Connection) -> None:
         if frontend._commands_started == 2:
-            answering.set()
+            answer_started.set()
             await stopped.wait()
             await trio.sleep(5 * DRAIN_POLL_S)
         await flush(connection)
@@ -530,23 +545,23 @@
     monkeypatch.setattr(Connection, "_flush", slow_flush)
 
     async def stop() -> None:
-        await answering.wait()
+        await answer_started.wait()
         env.edge.stop()
         stopped.set()
 
     def work(connection: Any) -> Any:
-        frontend._commands_started = 0  # without those of the login
-        ask(connection, "select 1")
+        frontend._commands_started = 0  # excludes the commands of the login
+        execute(connection, "select 1")
         connection._execute_command(COM_QUERY, "select 2")
         trio.from_thread.run(stop)
         connection._read_query_result()
         return connection._result.rows
 
-    assert await using(env, work) == ((2,),)
+    assert await run_pymysql(env, work) == ((2,),)
 
 
-async def test_a_stop_answers_a_command_that_nobody_has_read_yet(env: Environment) -> None:
-    """It was written to an open connection: an end without a word would leave its effect unknown."""
+async def test_shutdown_answers_a_command_that_is_not_read_yet(env: Environment) -> None:
+    """Guards against closing a connection with an unread command, which leaves its effect unknown."""
     frontend = env.edge.mysql
     assert frontend is not None
 
@@ -556,63 +571,63 @@
         return any(waiting.blocks_drain for waiting in frontend._connections)
 
     def work(connection: Any) -> tuple[bool, int]:
-        ask(connection, "select 1")
-        is_waited_for = trio.from_thread.run_sync(send_and_stop, connection)
+        execute(connection, "select 1")
+        blocks_drain = trio.from_thread.run_sync(send_and_stop, connection)
         try:
             connection._read_query_result()
         except pymysql.err.MySQLError as error:
-            return is_waited_for, error.args[0]
-        return is_waited_for, 0
+            return blocks_drain, error.args[0]
+        return blocks_drain, 0
 
-    assert await using(env, work) == (True, STOPPING)
+    assert await run_pymysql(env, work) == (True, SERVER_SHUTDOWN)
 
 
-async def test_a_stop_answers_a_command_that_comes_while_the_other_protocol_ends(
+async def test_shutdown_answers_a_command_that_arrives_while_the_grpc_server_drains(
     env: Environment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing was in flight on the MySQL side at the stop; its answer leaves when all else has ended."""
+    """The only command arrives during the drain; its answer is sent after all other drains have ended."""
     flush = Connection._flush
     drain_server = env.edge.server.drain
     drain_driver = env.edge.driver.drain
-    command_came = trio.Event()
-    all_else_ended = trio.Event()
+    command_received = trio.Event()
+    others_drained = trio.Event()
     frontend = env.edge.mysql
     assert frontend is not None
 
     async def slow_flush(connection: Connection) -> None:
         if frontend.draining:
-            command_came.set()
-            await all_else_ended.wait()
+            command_received.set()
+            await others_drained.wait()
             await trio.sleep(5 * DRAIN_POLL_S)
         await flush(connection)
 
     async def slow_server_drain() -> None:
         await drain_server()
-        await command_came.wait()
+        await command_received.wait()
 
-    async def noted_driver_drain() -> None:
+    async def observed_driver_drain() -> None:
         await drain_driver()
-        all_else_ended.set()
+        others_drained.set()
 
     monkeypatch.setattr(Connection, "_flush", slow_flush)
     monkeypatch.setattr(env.edge.server, "drain", slow_server_drain)
-    monkeypatch.setattr(env.edge.driver, "drain", noted_driver_drain)
+    monkeypatch.setattr(env.edge.driver, "drain", observed_driver_drain)
 
     async def stop() -> None:
         env.edge.stop()
         while not frontend.draining:
             await trio.sleep(0)
-        await trio.sleep(2 * DRAIN_POLL_S)  # its drain has looked, and found nothing
+        await trio.sleep(2 * DRAIN_POLL_S)  # the drain has polled and found nothing in flight
 
     def work(connection: Any) -> int:
-        ask(connection, "select 1")
+        execute(connection, "select 1")
         trio.from_thread.run(stop)
-        return code_of(connection, "select 2")
+        return error_code(connection, "select 2")
 
-    assert await using(env, work) == STOPPING
+    assert await run_pymysql(env, work) == SERVER_SHUTDOWN
 
 
-# Long results, and clients that do not read them.
+# Streamed results, and clients that do not read them.
 
 
 async def test_a_long_result_arrives_whole(env: Environment) -> None:
@@ -620,43 +635,43 @@
 
     def work(connection: Any) -> int:
         cursor = connection.cursor(pymysql.cursors.SSCursor)
-        cursor.execute(MANY % count)
+        cursor.execute(NUMBERS_QUERY % count)
         total = sum(row[0] for row in cursor)
         cursor.close()
-        assert ask(connection, "select 1") == ((1,),)
+        assert execute(connection, "select 1") == ((1,),)
         return int(total)
 
-    assert await using(env, work) == count * (count + 1) // 2
+    assert await run_pymysql(env, work) == count * (count + 1) // 2
 
 
-async def test_who_never_reads_holds_a_bounded_part_of_a_long_result(env: Environment) -> None:
-    def leave() -> None:
+async def test_client_that_does_not_read_buffers_a_bounded_part_of_a_result(env: Environment) -> None:
+    def disconnect() -> None:
         connection: Any = pymysql.connect(
-            host="127.0.0.1", port=port(env), user="ada", password="love lace", autocommit=True
+            host="127.0.0.1", port=mysql_port(env), user="ada", password="love lace", autocommit=True
         )
         cursor = connection.cursor(pymysql.cursors.SSCursor)
-        cursor.execute(WIDE % 50_000)
+        cursor.execute(WIDE_ROWS_QUERY % 50_000)
         for _ in range(3):
             cursor.fetchone()
-        trio.from_thread.run(full)
+        trio.from_thread.run(wait_until_buffered)
         connection._sock.close()
 
-    async def full() -> None:
-        await until(lambda: any(b._buffered_row_bytes > 100_000 for b in lent(env)))
-        assert all(b._buffered_row_bytes < 1 << 20 for b in lent(env))
+    async def wait_until_buffered() -> None:
+        await wait_until(lambda: any(b._buffered_row_bytes > 100_000 for b in leased_backends(env)))
+        assert all(b._buffered_row_bytes < 1 << 20 for b in leased_backends(env))
 
-    await trio.to_thread.run_sync(leave)
-    await until(lambda: not lent(env))
+    await trio.to_thread.run_sync(disconnect)
+    await wait_until(lambda: not leased_backends(env))
 
 
-def lent(env: Environment) -> list[Any]:
-    return [b for p in links(env).pools().values() for b in p._leased]
+def leased_backends(env: Environment) -> list[Any]:
+    return [b for p in mysql_endpoints(env).pools().values() for b in p._leased]
 
 
-async def test_a_result_that_breaks_off_is_told_so(env: Environment) -> None:
+async def test_interrupted_result_ends_with_an_error(env: Environment) -> None:
     def work(connection: Any) -> int:
         cursor = connection.cursor(pymysql.cursors.SSCursor)
-        cursor.execute(WIDE % 50_000)
+        cursor.execute(WIDE_ROWS_QUERY % 50_000)
         cursor.fetchone()
         trio.from_thread.run_sync(kill_all)
         try:
@@ -670,27 +685,28 @@
         for member in env.fleet.endpoints.values():
             member.kill()
 
-    assert await using(env, work) == 1105
+    assert await run_pymysql(env, work) == 1105
 
 
-async def test_a_statement_that_nobody_waits_for_is_killed_at_its_member(env: Environment) -> None:
-    async def alone() -> None:
+async def test_abandoned_statement_is_killed_at_its_endpoint(env: Environment) -> None:
+    async def send_abandoned_read() -> None:
         with trio.move_on_after(0.2):
             await env.read("r", cls="own")
 
-    async with trio.open_nursery() as several:
+    async with trio.open_nursery() as warm_up:
         for _ in range(40):
-            several.start_soon(env.read, "r")  # so that idle connections are there
+            warm_up.start_soon(env.read, "r")  # opens connections that are idle afterwards
     for name in env.fleet.endpoints:
-        await links(env).check_health(name)  # so that KILL's connection is there, older than the statement
+        # Opens the connection for KILL before the statement runs.
+        await mysql_endpoints(env).check_health(name)
     for member in env.fleet.endpoints.values():
         member.settings = replace(member.settings, read_us=60_000_000)
-    await alone()
-    await until(lambda: links(env).statements_killed == 1)
-    await until(lambda: not any(m.capacity.in_flight for m in env.fleet.endpoints.values()))
+    await send_abandoned_read()
+    await wait_until(lambda: mysql_endpoints(env).statements_killed == 1)
+    await wait_until(lambda: not any(m.capacity.in_flight for m in env.fleet.endpoints.values()))
 
 
-# What the other front may not do on connections that are shared.
+# What gRPC clients must not do on shared connections.
 
 
 @pytest.mark.parametrize(
@@ -705,13 +721,13 @@
         ("once", "insert into runs (runner, id) values (@a, 'x')"),
     ],
 )
-async def test_what_a_grpc_client_may_not_do_on_a_shared_connection(
+async def test_grpc_statement_that_needs_its_own_connection_is_rejected(
     env: Environment, cls: str, text: str
 ) -> None:
-    ask_for = env.message(cls, "r", "x")
-    ask_for.statement = text.encode()
-    del ask_for.parameters[:]
+    request = env.message(cls, "r", "x")
+    request.statement = text.encode()
+    del request.parameters[:]
     with pytest.raises(RpcError) as refused:
-        await env.send(ask_for)
+        await env.send(request)
     assert refused.value.code is Code.INVALID_ARGUMENT
     assert await env.read("r")
