--- a/juniperreel/emulator/__init__.py
+++ b/juniperreel/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Models of what the project runs, driven by seeds: schedules, loads, experiments."""
+"""Seeded simulations of the project's components in virtual time: fleets, admission control, Raft groups."""
--- a/juniperreel/emulator/admission.py
+++ b/juniperreel/emulator/admission.py
@@ -1,8 +1,8 @@
-"""A group of endpoints behind admission controllers, in virtual time: step responses, fairness, limits.
+"""Simulates endpoints behind admission controllers in virtual time: step responses, fairness, limits.
 
-Requests arrive by a Poisson process, pass an admission controller, and queue at an endpoint with cores of its
-own. Endpoint selection is the router's in outline only (even, with bounded load): admission is what is tried
-here.
+Requests arrive by a Poisson process, pass an admission controller, and queue at an endpoint with several
+cores. Endpoint selection is a simplification of the router's (random, with bounded load), since the
+simulation is for admission control.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 WORK_SIGMA = 0.4  # standard deviation of the logarithm of a request's work
 BOUNDED_LOAD = 1.25  # an endpoint above this multiple of the mean load gets no new request
-SAMPLE_INTERVAL_US = 50_000  # between two samples of the limits
-FAST_ERROR_US = 500  # until a fast error comes back
-NO_ENDPOINT_US = 20_000  # until a request without any endpoint to go to fails
-TIMEOUT_US = 200_000  # until the requests of an endpoint that died fail
+SAMPLE_INTERVAL_US = 50_000  # between samples of the limits
+FAST_ERROR_US = 500  # response time of a fast error
+NO_ENDPOINT_US = 20_000  # until a request fails for lack of an endpoint
+TIMEOUT_US = 200_000  # until requests at a killed endpoint fail
 MAX_OPEN = 100_000
 FOREVER_US = 1 << 60
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Server:
-    """One endpoint: cores, and a queue in front of them."""
+    """A simulated endpoint: cores with one queue."""
 
     cores: int
     alive: bool = True
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """One request on its way."""
+    """A request that has not ended."""
 
     controller: int
     class_index: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSample:
-    """The limits of all controllers on the replicas, at a time."""
+    """The limits of all controllers for replicas, at a time."""
 
     at_us: int
     values: tuple[float, ...]
@@ -105,7 +105,7 @@
 
 
 class AdmissionModel:
-    """One group of endpoints. `at` plans changes; `run` plays, and leaves `endings` and `limits`."""
+    """The simulation. `at` schedules changes; `run` advances time and records `endings` and `limits`."""
 
     def __init__(
         self,
@@ -120,13 +120,13 @@
         """Set up an idle group.
 
         Args:
-            settings: of the routers.
-            servers: the endpoints.
-            work_us: mean work of a request, on one core.
-            controllers: how many edges share the endpoints.
-            seed: of arrivals, work and endpoint selection; each controller gets a seed of its own after it.
-            make_limit: makes a lane's limit from its minimum.
-            admission_control: without it every arrival is admitted.
+            settings: The settings of the routers.
+            servers: The endpoints.
+            work_us: Mean work of a request on one core.
+            controllers: Number of edges that share the endpoints.
+            seed: Of arrivals, work and endpoint selection; controllers use this seed and the following ones.
+            make_limit: Creates a lane's limit from its minimum.
+            admission_control: If false, every arrival is admitted.
         """
         self.settings = settings
         self.servers = servers
@@ -143,16 +143,16 @@
         self.jobs: dict[int, Job] = {}
         self.endings: list[RequestEnd] = []
         self.limits: list[LimitSample] = []
-        self.fast_errors = 0.0  # part of requests that end at once with an error
+        self.fast_errors = 0.0  # fraction of requests that end with a fast error
         self._job_numbers = count()
 
     @property
     def now_us(self) -> int:
-        """The time of the play."""
+        """The time of the simulation's clock."""
         return self.clock.now_us
 
     def at(self, time_us: int, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action at a time."""
         self.clock.at(time_us, action)
 
     def load(self, load: Load) -> None:
@@ -170,13 +170,13 @@
         self._schedule_arrival(load)
 
     def burst(self, at_us: int, size: int, class_index: int = 0, tenant_index: int = -1) -> None:
-        """Plan `size` arrivals at once."""
+        """Schedule `size` simultaneous arrivals."""
         load = Load(0.0, class_index, tenant_index)
         for _ in range(size):
             self.at(at_us, partial(self._arrive, load))
 
     def run(self, until_us: int) -> None:
-        """Play until a time."""
+        """Run until a time."""
         self._sample_limits()
         self.clock.run(until_us)
 
@@ -265,7 +265,7 @@
         self._start_queued(server)
 
     def kill(self, index: int) -> None:
-        """Kill an endpoint. Its requests are lost, and end as such after a time-out."""
+        """Kill an endpoint. Its requests end as lost after a time-out."""
         server = self.servers[index]
         server.alive = False
         server.busy = 0
@@ -297,7 +297,7 @@
         tenant_index: int | None = None,
         class_index: int | None = None,
     ) -> float:
-        """Return how many requests a second ended so, of those that arrived between two times."""
+        """Return the rate per second of requests that arrived between two times and ended with a result."""
         matching = sum(
             end.result is result
             and start_us <= end.arrived_us < end_us
--- a/juniperreel/emulator/fleet_state.py
+++ b/juniperreel/emulator/fleet_state.py
@@ -1,4 +1,4 @@
-"""What the model of a fleet knows of its endpoints, routers and attempts: plain records, no decision."""
+"""The state of the simulated fleet: records of endpoints, routers and attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Which attempt of which router's request."""
+    """Identifies an attempt of a request at a router."""
 
     router: int
     request: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """An attempt as it was sent; it is void once its router's incarnation is over."""
+    """An attempt as it was sent; it is ignored once its router has restarted."""
 
     key: AttemptKey
     incarnation: int
@@ -28,13 +28,13 @@
 
 @dataclass(slots=True)
 class EndpointModel:
-    """One endpoint."""
+    """A simulated endpoint."""
 
     name: str
     primary: bool = False
     cores: int = 4
     speed: float = 1.0
-    error_rate: float = 0.0  # part of its attempts that it answers with a fast error
+    error_rate: float = 0.0  # fraction of attempts that it answers with a fast error
     alive: bool = True
     started_us: int = 0
     readiness: Readiness = Readiness.READY
@@ -42,23 +42,23 @@
     queue: deque[AttemptKey] = field(default_factory=deque)
 
     def list_entry(self) -> Endpoint:
-        """Return the endpoint as the endpoint list has it."""
+        """Return the endpoint's entry in the endpoint list."""
         return Endpoint(self.name, 0, 0, 0, self.readiness, self.primary, 1.0, self.started_us)
 
 
 @dataclass(slots=True)
 class RouterRecord:
-    """What the play knows of one router, beside the router itself."""
+    """The simulation's record of one router."""
 
-    rate_per_s: float  # of the reads that arrive at it
-    incarnation: int = 0  # counts its restarts
+    rate_per_s: float  # arrival rate of reads
+    incarnation: int = 0  # number of restarts
     arrived: int = 0
-    served_in_time: int = 0  # of the requests: within the latency objective
-    open_requests: dict[str, int] = field(default_factory=dict)  # without an answer; when they arrived
+    served_in_time: int = 0  # requests served within the latency objective
+    open_requests: dict[str, int] = field(default_factory=dict)  # unanswered requests, with arrival times
     attempt_counts: dict[str, int] = field(default_factory=dict)  # by request
 
     def restart(self) -> None:
-        """Begin a new incarnation, without the requests of the old one."""
+        """Begin a new incarnation and drop the open requests."""
         self.incarnation += 1
         self.open_requests = {}
         self.attempt_counts = {}
--- a/juniperreel/emulator/limit_alternatives.py
+++ b/juniperreel/emulator/limit_alternatives.py
@@ -1,6 +1,6 @@
-"""Concurrency limits that lost against the one in `admission`, so that their curves can be drawn again.
+"""Concurrency limits that were rejected in favour of the one in `admission`, kept to repeat the comparison.
 
-docs/design/admission.md says why each of them lost.
+docs/design/admission.md gives the reasons against each of them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 from juniperreel.admission.concurrency import INITIAL_LIMIT, MINIMUM_LIMIT, ConcurrencyLimit, Observation
 
-# Weights of the old mean and of the new value, given both: one minus the other differs in the last bit.
+# Weights of the old mean and of the new value. Both are written out, because computing one as 1 minus the
+# other gives a different last bit.
 SHORT_TERM_OLD = 0.9
 SHORT_TERM_NEW = 0.1
 LONG_TERM_OLD = 0.998
@@ -27,11 +28,11 @@
     """A limit that is configured once and never changes."""
 
     def _observe(self, observation: Observation) -> None:
-        """Ignore what is observed."""
+        """Ignore the observation."""
 
 
 class GradientLimit(ConcurrencyLimit):
-    """Short-term over long-term response time, with a queue of the limit's root (Netflix's Gradient2)."""
+    """Ratio of long-term to short-term response time, plus the limit's square root (Netflix's Gradient2)."""
 
     def __init__(self, minimum: float = MINIMUM_LIMIT, initial: float = INITIAL_LIMIT) -> None:
         super().__init__(minimum, initial)
@@ -54,18 +55,18 @@
 
 
 class VegasLimit(ConcurrencyLimit):
-    """The queue estimated from the least response time ever seen (Brakmo and Peterson, 1995)."""
+    """Estimates the queue from the minimum response time (TCP Vegas; Brakmo and Peterson, 1995)."""
 
     def __init__(self, minimum: float = MINIMUM_LIMIT, initial: float = INITIAL_LIMIT) -> None:
         super().__init__(minimum, initial)
-        self._least_ratio = math.inf
+        self._minimum_ratio = math.inf
 
     def _observe(self, observation: Observation) -> None:
         self.latency_ratio = _moving_average(
             self.latency_ratio, observation.latency_ratio, SHORT_TERM_OLD, SHORT_TERM_NEW
         )
-        self._least_ratio = min(self._least_ratio, observation.latency_ratio)
-        queue = self.value * (1 - self._least_ratio / self.latency_ratio)
+        self._minimum_ratio = min(self._minimum_ratio, observation.latency_ratio)
+        queue = self.value * (1 - self._minimum_ratio / self.latency_ratio)
         if queue < VEGAS_SMALL_QUEUE and observation.in_flight > self.value / 2:
             self.value += 1 / self.value
         elif queue > VEGAS_LARGE_QUEUE:
@@ -73,7 +74,7 @@
 
 
 def _moving_average(average: float, value: float, old_weight: float, new_weight: float) -> float:
-    """Return the new mean; the first value is taken as it is."""
+    """Return the new mean, which is `value` itself if there is no mean yet."""
     return old_weight * average + new_weight * value if average else value
 
 
--- a/juniperreel/emulator/raft.py
+++ b/juniperreel/emulator/raft.py
@@ -1,7 +1,8 @@
 """Seeded schedules of faults and requests against a group of Raft cores, checked at every step.
 
-A schedule is a list of operations, each a kind and two numbers that pick from what there is at that moment.
-So any part of a schedule is a schedule too, and a failing one can be shrunk. One seed gives one run.
+A schedule is a list of operations, each a kind and two numbers that select among the nodes and messages of
+the moment. So any subsequence of a schedule is valid, and a failing one can be shrunk. Runs are deterministic
+for a seed.
 """
 
 from __future__ import annotations
@@ -22,24 +23,24 @@
 DEFAULT_LENGTH = 400
 PICK_BITS = 16
 ALWAYS_PRESENT = ("deliver", "tick", "propose")
-KIND_PROBABILITY = 0.7  # that a schedule has any other kind
+KIND_PROBABILITY = 0.7  # that a schedule includes a given other kind
 STEERED_PROBABILITY = 0.3  # that a schedule prefers the steered kinds
-STEERED_FACTOR = 8  # how much more often they come then, and all else less often
-RECOVERY_TICKS = 120  # within which something must be committed once all faults have ended
-RECOVERY_DELIVERIES = 2000  # at most, in one tick of the recovery
-RECOVERY_COMMITS = 2  # entries; more than these must be committed
+STEERED_FACTOR = 8  # by which preferred kinds are more frequent, and the others less
+RECOVERY_TICKS = 120  # after all faults have ended, within which entries must be committed
+RECOVERY_DELIVERIES = 2000  # maximum per tick of the recovery
+RECOVERY_COMMITS = 2  # entries; the recovery must commit more than these
 LIVENESS = "liveness: nothing was committed after all faults had ended"
 
 
 class OperationKind(NamedTuple):
-    """What an operation does, and how often it is drawn in relation to the others."""
+    """An operation's function and its relative frequency."""
 
     function: OperationFunction
     weight: int
     steered: bool = False
 
 
-# The order and the weights are part of what a seed means.
+# A change of the order or of a weight changes the schedules of all seeds.
 KINDS = {
     "deliver": OperationKind(operations.deliver, 60),
     "tick": OperationKind(operations.tick, 30),
@@ -66,7 +67,7 @@
 
 
 class Operation(NamedTuple):
-    """One step of a schedule; the numbers pick from what there is at that moment."""
+    """One step of a schedule; the numbers select among the nodes and messages of the moment."""
 
     kind: str
     pick: int
@@ -75,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """A schedule that broke a property.
+    """A schedule that violates a property.
 
     Attributes:
         seed: Of the group.
-        violation: Which property, and how.
-        operations: Shrunk as far as they still break it.
+        violation: The property, and how it was violated.
+        operations: The schedule, shrunk if that was requested.
     """
 
     seed: int
@@ -89,12 +90,12 @@
 
     @property
     def broken_property(self) -> str:
-        """The name of the property."""
+        """The name of the violated property."""
         return self.violation.partition(":")[0]
 
 
 def make_schedule(seed: int, length: int) -> list[Operation]:
-    """The operations of a seed. Each schedule leaves some kinds out, so that others come together."""
+    """Draw the schedule of a seed. Each omits some kinds, so that the others occur closer together."""
     rng = random.Random(seed)
     weights = {
         name: kind.weight
@@ -110,16 +111,16 @@
 
 
 def play(group: SimulatedGroup, schedule: Sequence[Operation]) -> None:
-    """Play a schedule.
+    """Run a schedule.
 
-    Raises SafetyViolationError, or AssertionError where the core itself notices a violation.
+    Raises SafetyViolationError, or AssertionError if the core itself detects a violation.
     """
     for kind, pick, variant in schedule:
         KINDS[kind].function(group, pick, variant)
 
 
 def recovers(group: SimulatedGroup) -> bool:
-    """End all faults. Returns whether new entries are committed soon."""
+    """End all faults and return whether new entries are committed within RECOVERY_TICKS."""
     group.partitions.clear()
     group.delayed.clear()
     for name in [name for name, node in group.nodes.items() if node.core is None]:
@@ -142,14 +143,14 @@
 def find_violation(
     seed: int, schedule: Sequence[Operation], core_factory: CoreFactory = RaftCore
 ) -> str | None:
-    """The property that a schedule breaks, and how; None if it breaks none."""
+    """Return which property a schedule violates and how, or None."""
     group = SimulatedGroup(seed, core_factory)
     try:
         play(group, schedule)
         recovered = recovers(group)
     except (SafetyViolationError, AssertionError) as error:
         return str(error) or type(error).__name__
-    except Exception as error:  # a core that raises anything else is a finding like any other
+    except Exception as error:  # any other exception in the core is a failure, too
         place = traceback.extract_tb(error.__traceback__)[-1]
         return f"crash: {type(error).__name__}: {error} in {place.name}:{place.lineno}"
     return None if recovered else LIVENESS
@@ -162,7 +163,7 @@
     *,
     shrinking: bool = True,
 ) -> Failure | None:
-    """Play a seed's schedule. Returns the failure, shrunk if `shrinking`, or None if nothing broke."""
+    """Run a seed's schedule. Returns the failure, shrunk if `shrinking`, or None."""
     schedule = make_schedule(seed, length)
     violation = find_violation(seed, schedule, core_factory)
     if violation is None:
@@ -172,7 +173,7 @@
 
 
 def shrink(failure: Failure, core_factory: CoreFactory = RaftCore) -> Failure:
-    """Drop ever smaller parts as long as the schedule still breaks the same property."""
+    """Remove ever smaller parts of the schedule as long as it still violates the same property."""
     size = len(failure.operations) // 2
     while size:
         start = 0
--- a/juniperreel/emulator/raft_group.py
+++ b/juniperreel/emulator/raft_group.py
@@ -1,7 +1,7 @@
-"""A group of Raft cores without sockets, clocks or disks, whose every step is checked.
+"""A group of Raft cores without sockets, clocks or disks, in which every step is checked.
 
-Owns the nodes, the messages on their way and the partitions between nodes. What happens when is decided by
-the operations of a schedule; see `juniperreel.emulator.raft`.
+Owns the nodes, the messages in flight and the partitions between nodes. The operations of a schedule decide
+the order of events; see `juniperreel.emulator.raft`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 NODE_NAMES = ("a", "b", "c", "d", "e")
 JOINING_NAMES = ("f", "g", "h", "i", "j", "k", "l", "m")
 GROUP_SIZES = (3, 3, 5)  # one is drawn
-# Small limits, so that every one of them is met in a short schedule.
+# Small limits, so that a short schedule reaches all of them.
 CONFIG = RaftConfig(
     election_ticks=6,
     heartbeat_ticks=2,
@@ -44,17 +44,17 @@
 
 
 class CrashPoint(Enum):
-    """When a node crashes that has something to persist."""
+    """When a node with a batch to persist crashes."""
 
     BEFORE_WRITE = "before the write"
     AFTER_WRITE = "after the write, before anything is sent"
 
 
 class StaleReadError(SafetyViolationError):
-    """A linearizable read did not see what was acknowledged before it."""
+    """A linearizable read missed entries that were acknowledged before it."""
 
     def __init__(self, node: str, index: int, acknowledged: int) -> None:
-        """A read at `node` saw entries up to `index`, though `acknowledged` was before it."""
+        """The read at `node` saw entries up to `index`, although `acknowledged` was acknowledged before."""
         super().__init__(
             f"linearizability: a read at {node} sees {index}; {acknowledged} was acknowledged before it"
         )
@@ -69,9 +69,9 @@
 
     Attributes:
         core: None while the node is down.
-        storage: What its disk holds.
-        commands: The commands that were applied since the beginning: the state machine.
-        last_led_term: The last term in which it was seen to lead.
+        storage: The contents of its disk.
+        commands: All commands applied so far, which are the state of the state machine.
+        last_led_term: The last term in which the node was observed as leader.
     """
 
     core: RaftCore | None
@@ -84,11 +84,11 @@
     """Nodes, the network between them, and the checker.
 
     Attributes:
-        nodes: All nodes by name, those that are down included.
-        network: Messages on their way, the oldest first.
-        delayed: Messages that are kept back until much later.
-        partitions: Pairs of sender and receiver between whom nothing passes.
-        checker: Raises SafetyViolationError at the first step that breaks a property.
+        nodes: All nodes by name, including those that are down.
+        network: Messages in flight, the oldest first.
+        delayed: Messages held back for a late delivery.
+        partitions: Pairs of sender and receiver that are cut off.
+        checker: Raises SafetyViolationError at the first step that violates a property.
     """
 
     def __init__(
@@ -109,9 +109,9 @@
         self.delayed: list[Message] = []
         self.partitions: set[tuple[str, str]] = set()
         self._requests = 0
-        self._joined = 0
+        self._added_nodes = 0
         self._acknowledged_index = 0
-        self._least_indexes: dict[int, int] = {}  # by read context: what the read must at least see
+        self._least_indexes: dict[int, int] = {}  # by read context: the index that the read must at least see
         for name in NODE_NAMES[:size]:
             self._start(name, storage_factory(membership))
 
@@ -124,50 +124,50 @@
         self.checker.record_restart(name, storage.snapshot.index)
 
     def restart(self, name: str) -> None:
-        """Start a node with what its disk holds."""
+        """Start a node from the contents of its disk."""
         self._start(name, self.nodes[name].storage)
 
     def stop(self, name: str) -> None:
-        """Crash a node; what was not written is lost."""
+        """Crash a node; unwritten state is lost."""
         self.nodes[name].core = None
 
-    def up(self) -> list[str]:
-        """The nodes that run."""
+    def running_nodes(self) -> list[str]:
+        """The names of the running nodes."""
         return [name for name, node in self.nodes.items() if node.core is not None]
 
-    def down(self) -> list[str]:
-        """The nodes that do not run, in the order of their names."""
+    def stopped_nodes(self) -> list[str]:
+        """The names of the nodes that are down, sorted."""
         return sorted(name for name, node in self.nodes.items() if node.core is None)
 
-    def pick_up(self, pick: int) -> str | None:
-        """One of the nodes that run, if any does."""
-        names = self.up()
+    def pick_running(self, pick: int) -> str | None:
+        """Select one of the running nodes, if there are any."""
+        names = self.running_nodes()
         return names[pick % len(names)] if names else None
 
     def pick_leader(self, pick: int = 0) -> str | None:
-        """One of the nodes that take themselves for the leader, if any does."""
+        """Select one of the nodes that consider themselves the leader, if there are any."""
         names = [name for name, node in self.nodes.items() if node.core is not None and node.core.is_leader]
         return names[pick % len(names)] if names else None
 
     def majority_survives_a_crash(self) -> bool:
-        """Whether another node may fall and a majority of all nodes still runs."""
-        return len(self.down()) < len(self.nodes) // 2
+        """Whether a majority of all nodes would still run after another crash."""
+        return len(self.stopped_nodes()) < len(self.nodes) // 2
 
     def core(self, name: str) -> RaftCore:
-        """The core of a node that runs."""
+        """The core of a running node."""
         core = self.nodes[name].core
         assert core is not None
         return core
 
     def isolate(self, name: str) -> None:
-        """Cut a node off from all others, both ways."""
+        """Cut a node off from all others in both directions."""
         self.partitions |= {(name, other) for other in self.nodes}
         self.partitions |= {(other, name) for other in self.nodes}
 
-    # One node's turn.
+    # Processing of a node's output.
 
     def settle(self, name: str, crash: CrashPoint | None = None) -> None:
-        """Write, send and apply as long as a node has something to; or crash on the way."""
+        """Write, send and apply until the node has nothing left to do, or crash it at a given point."""
         node = self.nodes[name]
         core = node.core
         if core is None:
@@ -227,12 +227,12 @@
     # Requests.
 
     def tick(self, name: str) -> None:
-        """One unit of time passes on a node that runs."""
+        """Advance a running node's time by one tick."""
         self.core(name).tick()
         self.settle(name)
 
     def propose(self, name: str) -> bool:
-        """Propose a new command. Returns whether the node took it; it was not settled yet."""
+        """Propose a new command. Returns whether the node accepted it; its output is not processed yet."""
         self._requests += 1
         try:
             self.core(name).propose(b"c%d" % self._requests)
@@ -241,7 +241,7 @@
         return True
 
     def read(self, name: str) -> None:
-        """Begin a linearizable read, which must see all that was acknowledged so far."""
+        """Begin a linearizable read, which must see all entries acknowledged so far."""
         self._requests += 1
         self._least_indexes[self._requests] = self._acknowledged_index
         try:
@@ -251,27 +251,27 @@
         self.settle(name)
 
     def compact(self, name: str) -> None:
-        """Take a snapshot of what a node has applied, if there is anything new."""
+        """Take a snapshot of a node's state machine, if it has changed since the last one."""
         core = self.core(name)
         if core.applied_index > core.snapshot.index:
             core.compact(core.applied_index, COMMAND_SEPARATOR.join(self.nodes[name].commands))
             self.settle(name)
 
-    def can_grow(self) -> bool:
-        """Whether there is a name left for a node that joins."""
-        return self._joined < len(JOINING_NAMES)
+    def can_add_node(self) -> bool:
+        """Whether there is an unused name for another node."""
+        return self._added_nodes < len(JOINING_NAMES)
 
     def add_learner(self, leader: str) -> None:
-        """Have a leader add a node with an empty disk. Raises as `RaftCore.change_membership` does."""
-        name = JOINING_NAMES[self._joined]
+        """Have a leader add a node with an empty disk. Raises what `RaftCore.change_membership` raises."""
+        name = JOINING_NAMES[self._added_nodes]
         self.core(leader).change_membership(MembershipChange.ADD_LEARNER, name)
-        self._joined += 1
+        self._added_nodes += 1
         self._start(name, self._storage_factory(Membership(frozenset())))
 
     # Network.
 
     def deliver(self, message: Message) -> None:
-        """Hand a message to its receiver, unless that is down or partitioned from the sender."""
+        """Deliver a message, unless its receiver is down or partitioned from the sender."""
         node = self.nodes.get(message.dst)
         if node is None or node.core is None or (message.src, message.dst) in self.partitions:
             return
@@ -279,25 +279,25 @@
         self.settle(message.dst)
 
     def deliver_oldest(self) -> None:
-        """Deliver the message that is longest on its way."""
+        """Deliver the message that was sent first."""
         self.deliver(self.network.pop(0))
 
     def deliver_matching(
         self, matches: Callable[[Message], bool], passes: Callable[[Message], bool] | None = None
     ) -> None:
-        """Deliver the messages that match now, not the answers to them; lose those that do not pass."""
+        """Deliver the current messages that match, not the replies to them; drop those that do not pass."""
         for message in [message for message in self.network if matches(message)]:
             self.network.remove(message)
             if passes is None or passes(message):
                 self.deliver(message)
 
     def drop_matching(self, matches: Callable[[Message], bool]) -> None:
-        """Lose the messages that match."""
+        """Drop the messages that match."""
         self.network = [message for message in self.network if not matches(message)]
 
 
-def concerns(message: Message, name: str) -> bool:
-    """Whether a node sent a message or is to receive it."""
+def involves(message: Message, name: str) -> bool:
+    """Whether a node is the sender or the receiver of a message."""
     return name in (message.src, message.dst)
 
 
@@ -306,5 +306,5 @@
 
 
 def _contents(entry: Entry) -> bytes:
-    """What the checker compares of an entry."""
+    """The part of an entry that the checker compares."""
     return bytes((entry.kind.value,)) + entry.data
--- a/juniperreel/emulator/raft_operations.py
+++ b/juniperreel/emulator/raft_operations.py
@@ -1,7 +1,7 @@
-"""The operations of a schedule that happen at random: time, the network, crashes, requests.
+"""The random operations of a schedule: time, the network, crashes, requests.
 
-Each takes the group and two numbers: `pick` chooses from what there is at that moment, `variant` one of the
-operation's forms. Where there is nothing to choose from, nothing happens.
+Each takes the group and two numbers: `pick` selects a node or message, `variant` one of the operation's
+forms. If there is nothing to select, the operation has no effect.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from juniperreel.raft.types import MembershipChange
 
 MAX_DELAYED = 40
-LEAST_VOTERS = 2  # a smaller group is not made by removing members
+LEAST_VOTERS = 2  # removals leave at least this many voters
 
 OperationFunction = Callable[[SimulatedGroup, int, int], None]
 
 
 def deliver(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Deliver the oldest message, or sometimes any: nothing promises order."""
+    """Deliver the oldest message, or sometimes any, since the network guarantees no order."""
     if group.network:
         position = 0 if variant % 4 else pick % len(group.network)
         group.deliver(group.network.pop(position))
 
 
 def deliver_many(group: SimulatedGroup, pick: int, _variant: int) -> None:
-    """Deliver many messages in order, so that work gets done between the faults."""
+    """Deliver many messages in order, so that the group makes progress between faults."""
     for _ in range(min(len(group.network), 5 + pick % 20)):
         group.deliver_oldest()
 
 
 def tick(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Some time passes on one node."""
-    name = group.pick_up(pick)
+    """Advance the time of one node by some ticks."""
+    name = group.pick_running(pick)
     if name is None:
         return
     core = group.core(name)
@@ -44,13 +44,13 @@
 
 
 def drop(group: SimulatedGroup, pick: int, _variant: int) -> None:
-    """Lose a message."""
+    """Drop a message."""
     if group.network:
         group.network.pop(pick % len(group.network))
 
 
 def duplicate(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have a message arrive twice."""
+    """Duplicate a message."""
     if group.network:
         message = group.network[pick % len(group.network)]
         group.network.insert(variant % (len(group.network) + 1), message)
@@ -64,18 +64,18 @@
 
 
 def crash_after_write(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Crash a node that has written its batch and sent nothing."""
+    """Crash a node after it has written its batch and before it sends anything."""
     _crash(group, pick, variant, CrashPoint.AFTER_WRITE)
 
 
 def crash_before_write(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Crash a node that has not written its batch."""
+    """Crash a node before it writes its batch."""
     _crash(group, pick, variant, CrashPoint.BEFORE_WRITE)
 
 
 def _crash(group: SimulatedGroup, pick: int, variant: int, point: CrashPoint) -> None:
-    name = group.pick_up(pick)
-    if name is None or len(group.down()) > len(group.nodes) // 2:
+    name = group.pick_running(pick)
+    if name is None or len(group.stopped_nodes()) > len(group.nodes) // 2:
         return
     if variant % 2:
         tick(group, pick, variant)
@@ -83,17 +83,17 @@
 
 
 def restart(group: SimulatedGroup, pick: int, _variant: int) -> None:
-    """Start a node again that is down."""
-    down = group.down()
-    if down:
-        group.restart(down[pick % len(down)])
+    """Restart a node that is down."""
+    stopped_nodes = group.stopped_nodes()
+    if stopped_nodes:
+        group.restart(stopped_nodes[pick % len(stopped_nodes)])
 
 
 def partition(group: SimulatedGroup, pick: int, variant: int) -> None:
     """Partition one node from the others, in one direction or both, or the group into two halves."""
     names = sorted(group.nodes)
     one = names[pick % len(names)]
-    if variant % 3 == 0:  # it receives and cannot send
+    if variant % 3 == 0:  # it can receive but not send
         group.partitions |= {(one, other) for other in names}
     elif variant % 3 == 1:
         group.isolate(one)
@@ -109,7 +109,7 @@
 
 def compact(group: SimulatedGroup, pick: int, _variant: int) -> None:
     """Take a snapshot on one node."""
-    name = group.pick_up(pick)
+    name = group.pick_running(pick)
     if name is not None:
         group.compact(name)
 
@@ -122,7 +122,7 @@
     core = group.core(name)
     membership = core.membership
     try:
-        if variant % 3 == 0 and group.can_grow():
+        if variant % 3 == 0 and group.can_add_node():
             group.add_learner(name)
         elif variant % 3 == 1 and membership.learners:
             learner = sorted(membership.learners)[pick % len(membership.learners)]
@@ -136,7 +136,7 @@
 
 
 def transfer_leadership(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have a leader hand over its leadership."""
+    """Have a leader transfer its leadership."""
     name = group.pick_leader(pick)
     if name is None:
         return
@@ -157,7 +157,7 @@
 
 
 def delay(group: SimulatedGroup, pick: int, _variant: int) -> None:
-    """Keep back a message of an election, of a leader or of a snapshot until much later."""
+    """Hold back a vote reply, an append or a snapshot chunk for a late delivery."""
     candidates = [
         message for message in group.network if isinstance(message, VoteReply | AppendEntries | SnapshotChunk)
     ]
@@ -168,7 +168,7 @@
 
 
 def deliver_delayed(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Deliver some of the messages that were kept back."""
+    """Deliver some of the delayed messages."""
     for _ in range(1 + variant % 3):
         if group.delayed:
             group.deliver(group.delayed.pop(pick % len(group.delayed)))
--- a/juniperreel/emulator/raft_steering.py
+++ b/juniperreel/emulator/raft_steering.py
@@ -1,4 +1,4 @@
-"""Steered operations of a schedule: rare orders of events that chance alone hardly meets.
+"""Steered operations of a schedule: orders of events that random operations rarely produce.
 
 They take the same arguments as the operations in `juniperreel.emulator.raft_operations`.
 """
@@ -7,14 +7,14 @@
 
 from collections.abc import Collection
 
-from juniperreel.emulator.raft_group import SimulatedGroup, concerns
+from juniperreel.emulator.raft_group import SimulatedGroup, involves
 from juniperreel.emulator.raft_operations import compact
 from juniperreel.raft.core import RaftCore
 from juniperreel.raft.messages import AppendEntries, Message, SnapshotChunk, VoteReply, VoteRequest
 from juniperreel.raft.types import Role
 
-ELECTION_ROUNDS = 40  # of ticks and deliveries that one may take to be elected
-ROUNDS = 6  # of ticks and deliveries in the other operations
+ELECTION_ROUNDS = 40  # maximum rounds of ticks and deliveries until a node is elected
+ROUNDS = 6  # rounds of ticks and deliveries in the other operations
 
 
 def is_vote(message: Message) -> bool:
@@ -23,14 +23,14 @@
 
 
 def is_vote_request(message: Message) -> bool:
-    """Whether a message asks for a vote, in an election and not a pre-vote."""
+    """Whether a message requests a vote, other than a pre-vote."""
     return isinstance(message, VoteRequest) and not message.pre_vote
 
 
 def elect_other(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have a node elected that does not lead, and lose what it sends as the leader.
+    """Elect a node other than the leader, and drop the entries that it sends as the new leader.
 
-    The old leader crashes or is partitioned. The new one then has an entry of its own that nobody else has.
+    The old leader may crash or be partitioned. The new one then has an entry that no other node has.
     """
     leader = group.pick_leader()
     name = _pick_candidate(group, leader, pick, variant)
@@ -38,7 +38,7 @@
         return
     if leader is not None and variant % 2 and group.majority_survives_a_crash():
         group.stop(leader)
-    elif leader is not None and variant % 3:  # it goes on by itself, and takes itself for the leader
+    elif leader is not None and variant % 3:  # it keeps running, and considers itself the leader
         group.isolate(leader)
     group.drop_matching(lambda message: not is_vote(message))
     _run_election(group, name, leader)
@@ -53,24 +53,24 @@
 
 
 def _pick_candidate(group: SimulatedGroup, leader: str | None, pick: int, variant: int) -> str | None:
-    down = group.down()
-    others = [name for name in group.up() if name != leader]
-    if down and variant % 8 >= 4:  # one that may have led before, and knows nothing of what came since
-        name = down[pick % len(down)]
+    stopped_nodes = group.stopped_nodes()
+    others = [name for name in group.running_nodes() if name != leader]
+    if stopped_nodes and variant % 8 >= 4:  # it may have been the leader, and has missed later entries
+        name = stopped_nodes[pick % len(stopped_nodes)]
         group.restart(name)
         return name
     return others[pick % len(others)] if others else None
 
 
 def _run_election(group: SimulatedGroup, name: str, leader: str | None) -> None:
-    """Tick a node until it leads; of the rest only what concerns the election is delivered."""
+    """Tick a node until it leads, and deliver only its messages of the election."""
     for _ in range(ELECTION_ROUNDS):
         core = group.nodes[name].core
         if core is None or core.is_leader:
             return
         group.tick(name)
         group.deliver_matching(
-            lambda message: concerns(message, name) and (leader is None or not concerns(message, leader)),
+            lambda message: involves(message, name) and (leader is None or not involves(message, leader)),
             passes=is_vote,
         )
 
@@ -80,8 +80,8 @@
 
 
 def competing_candidates(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have two nodes ask for votes, term after term, while the answers to one of them are late."""
-    voters = _without_leader(group)
+    """Have two nodes request votes in successive terms, while the replies to one of them are delayed."""
+    voters = _crash_leader(group)
     if len(voters) < 2:
         return
     one = voters[pick % len(voters)]
@@ -90,33 +90,33 @@
         if not _campaign(group, one, voters):
             return
         group.deliver_matching(is_vote_request)
-        late = [message for message in group.network if _is_vote_for(message, one)]
+        delayed_votes = [message for message in group.network if _is_vote_for(message, one)]
         group.network.clear()
-        group.delayed.extend(late)
+        group.delayed.extend(delayed_votes)
     if not _campaign(group, one, voters):
         return
     group.network.clear()
     if _campaign(group, other, [name for name in voters if name != one]):
         for _ in range(ROUNDS):
-            group.deliver_matching(lambda message: not concerns(message, one))
+            group.deliver_matching(lambda message: not involves(message, one))
     for message in [message for message in group.delayed if message.dst == one]:
         group.delayed.remove(message)
         group.deliver(message)
 
 
-def _without_leader(group: SimulatedGroup) -> list[str]:
-    """Crash the leader and clear the network. Returns the nodes that run, or none if too few would."""
+def _crash_leader(group: SimulatedGroup) -> list[str]:
+    """Crash the leader and clear the network. Returns the running nodes, or none if too few would run."""
     leader = group.pick_leader()
     if leader is not None:
         if not group.majority_survives_a_crash():
             return []
         group.stop(leader)
-    voters = group.up()
+    voters = group.running_nodes()
     if len(voters) < 2:
         return []
     group.network.clear()
     group.partitions.clear()
-    if leader is not None and len(voters) < 3:  # it is needed as a voter
+    if leader is not None and len(voters) < 3:  # the old leader is needed as a voter
         group.restart(leader)
         voters.append(leader)
     return voters
@@ -127,7 +127,7 @@
 
 
 def _campaign(group: SimulatedGroup, name: str, voters: Collection[str]) -> bool:
-    """Make a node a candidate whose requests for votes are still on their way. Returns whether it is one."""
+    """Make a node a candidate with vote requests in flight. Returns whether that succeeded."""
     for _ in range(ELECTION_ROUNDS):
         core = group.nodes[name].core
         if core is None or core.is_leader:
@@ -135,7 +135,7 @@
         if core.role is Role.CANDIDATE and _has_requested_votes(group, core):
             return True
         group.tick(name)
-        for message in [message for message in group.network if concerns(message, name)]:
+        for message in [message for message in group.network if involves(message, name)]:
             group.network.remove(message)
             if is_vote_request(message):
                 group.network.append(message)
@@ -156,7 +156,7 @@
 
 
 def partial_replication(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have a leader's entries reach only some followers; then it may crash."""
+    """Deliver a leader's entries to some followers only; then the leader may crash."""
     name = group.pick_leader(pick)
     if name is None:
         return
@@ -172,7 +172,7 @@
             return
         group.tick(name)
         group.deliver_matching(
-            lambda message: concerns(message, name),
+            lambda message: involves(message, name),
             passes=lambda message: message.src in reached or message.dst in reached,
         )
     if variant % 4 < 2 and group.majority_survives_a_crash():
@@ -180,7 +180,7 @@
 
 
 def lagging_follower(group: SimulatedGroup, pick: int, variant: int) -> None:
-    """Have a follower need a snapshot, and the snapshot change while it is sent."""
+    """Make a follower need a snapshot, and replace the snapshot while it is being sent."""
     name = group.pick_leader()
     if name is None:
         return
@@ -191,7 +191,7 @@
     follower = followers[pick % len(followers)]
     for turn in range(2 + variant % 2):
         group.drop_matching(
-            lambda message: concerns(message, follower) and not isinstance(message, SnapshotChunk)
+            lambda message: involves(message, follower) and not isinstance(message, SnapshotChunk)
         )
         if not _commit_without(group, name, follower, 3 + pick % 6):
             return
@@ -208,7 +208,7 @@
     for _ in range(count):
         group.propose(leader)
         group.settle(leader)
-        group.deliver_matching(lambda message: not concerns(message, follower))
+        group.deliver_matching(lambda message: not involves(message, follower))
         if group.nodes[leader].core is not core or not core.is_leader:
             return False
     return True
@@ -216,7 +216,7 @@
 
 def _deliver_one_of(group: SimulatedGroup, follower: str, variant: int) -> None:
     """Deliver a message from or to a follower: in order or not, once or twice, or again much later."""
-    messages = [message for message in group.network if concerns(message, follower)]
+    messages = [message for message in group.network if involves(message, follower)]
     if not messages:
         return
     message = messages[variant % len(messages)] if variant % 5 == 0 else messages[0]
--- a/juniperreel/emulator/router_settings.py
+++ b/juniperreel/emulator/router_settings.py
@@ -1,4 +1,4 @@
-"""Router settings with plain defaults, for models and their tests."""
+"""Router settings with simple defaults, for simulations and tests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_request_class(name: str = "read", priority_weight: float = 1.0, **changes: Any) -> RequestClass:
-    """Return a class of reads from any replica, with `changes` to its fields."""
+    """Return a class of reads that any replica may serve, with `changes` to its fields."""
     return replace(READ_CLASS, name=name, priority_weight=priority_weight, **changes)
 
 
--- a/juniperreel/emulator/spread.py
+++ b/juniperreel/emulator/spread.py
@@ -1,9 +1,9 @@
-"""Hundreds of routers before one group of endpoints, in virtual time: how load spreads as endpoints change.
+"""Simulates hundreds of routers and one group of endpoints in virtual time, to measure the load distribution.
 
-The routers are the program's own, each with its own seed, endpoint list and timers. Endpoints have cores,
-one queue and a speed, and may fail quickly, vanish or start cold. Reads arrive by Poisson processes, unevenly
-over the routers. Arrivals at endpoints are recorded as `verification.spread` reads them. One seed gives one
-play.
+The routers are the production implementation, each with its own seed, endpoint list and timers. Endpoints
+have cores, one queue and a speed, and may fail fast, disappear or start cold. Reads arrive by Poisson
+processes with different rates per router. Arrivals at endpoints are recorded for `verification.spread`. The
+simulation is deterministic for a seed.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 from juniperreel.verification.spread import Arrival
 
 MILLISECOND_US = 1_000
-TRIP_US = (200, 600)  # one way, drawn between these
-UPDATE_DELAY_US = (200 * MILLISECOND_US, 1_000 * MILLISECOND_US)  # until a router has an endpoint's new entry
+ONE_WAY_DELAY_US = (200, 600)  # range of the one-way network delay
+UPDATE_DELAY_US = (200 * MILLISECOND_US, 1_000 * MILLISECOND_US)  # range, until a router gets an update
 REPORT_AGE_US = 100 * MILLISECOND_US
 WORK_SIGMA = 0.5  # standard deviation of the logarithm of a read's work
-FAST_ERROR_US = 2 * MILLISECOND_US  # until an endpoint that fails responds
-START_US = 1_000 * SECOND_US  # of the play, on its clock
-HEAVY_ROUTER_EVERY = 10  # one in so many routers has more reads than the others
+FAST_ERROR_US = 2 * MILLISECOND_US  # response time of a fast error
+START_US = 1_000 * SECOND_US  # clock time at the start of the simulation
+HEAVY_ROUTER_EVERY = 10  # every n-th router has more reads than the others
 
 READ = make_request_class(latency_objective_us=500 * MILLISECOND_US)
 BOUNDED_READ = replace(READ, consistency=Consistency.BOUNDED, max_staleness_us=300 * MILLISECOND_US)
@@ -63,7 +63,7 @@
 
 
 def make_fleet_settings(router_count: int, read_class: RequestClass = READ, **changes: Any) -> Settings:
-    """Return the settings of a fleet of routers that watch the endpoint list, with `changes` to them."""
+    """Return settings for routers that watch the endpoint list, with `changes` to their fields."""
     defaults: dict[str, Any] = {
         "max_attempts": 6,
         "response_grace_us": 20 * MILLISECOND_US,
@@ -77,7 +77,7 @@
 
 
 class Fleet:
-    """One play. `at` plans changes to endpoints or routers; `run` plays on to a second of the play."""
+    """One simulation. `at` schedules changes to endpoints or routers; `run` advances to a time in seconds."""
 
     def __init__(
         self,
@@ -91,10 +91,11 @@
         read_class: RequestClass = READ,
         **changes: Any,
     ) -> None:
-        """Set up the fleet and the first arrivals.
+        """Set up the fleet and schedule the first arrivals.
 
-        Each router has `rate_per_s` reads a second, one in ten of them `heavy_factor` times that. `work_us`
-        is the mean work of a read on one core at full speed. `changes` are to the routers' settings.
+        Each router gets `rate_per_s` reads a second, and every tenth one `heavy_factor` times as many.
+        `work_us` is the mean work of a read on one core at full speed. `changes` apply to the routers'
+        settings.
         """
         self.rng = random.Random(seed)
         self.read_class = read_class
@@ -110,39 +111,39 @@
             for i in range(router_count)
         ]
         self.routers: list[Router] = []
-        self.outstanding: set[AttemptKey] = set()  # attempts whose end their router awaits
+        self.outstanding: set[AttemptKey] = set()  # attempts whose routers have not seen their end
         self.arrivals: list[Arrival] = []
         self.health_checks: list[Arrival] = []
         for router in range(router_count):
             self.routers.append(self._start_router(router))
             self._schedule_arrival(router)
 
-    # Planning.
+    # Time.
 
     @property
     def now_us(self) -> int:
-        """The time of the play's clock."""
+        """The time of the simulation's clock."""
         return self.clock.now_us
 
     def _after(self, delay_us: float, action: Callable[..., object], *arguments: Any) -> None:
         self.clock.at(self.now_us + int(delay_us), partial(action, *arguments))
 
     def at(self, second: float, change: Callable[[Fleet], object]) -> None:
-        """Plan a change at a second of the play."""
+        """Schedule a change, in seconds after the start."""
         self._after(START_US + second * SECOND_US - self.now_us, change, self)
 
     def time_us(self, second: float) -> int:
-        """Return a second of the play as a time on its clock."""
+        """Convert seconds after the start to a time on the clock."""
         return START_US + int(second * SECOND_US)
 
     def run(self, until: float) -> None:
-        """Play on to a second of the play."""
+        """Run until a time in seconds after the start."""
         self.clock.run(self.time_us(until))
 
     # Changes to endpoints and routers.
 
     def announce(self, endpoint: EndpointModel, delay_us: tuple[int, int] = UPDATE_DELAY_US) -> None:
-        """Send the endpoint's entry in the list to every router, each after a delay of its own."""
+        """Send the endpoint's list entry to every router, each after a random delay."""
         entry = endpoint.list_entry()
         for router in range(len(self.routers)):
             self._after(self.rng.uniform(*delay_us), self._update_endpoint, router, entry)
@@ -151,7 +152,7 @@
         self._handle(router, EndpointUpdate(UpdateKind.DELTA, (entry,)))
 
     def replace_endpoint(self, name: str) -> str:
-        """Remove the endpoint, start a cold one in its place, and return the new one's name."""
+        """Replace the endpoint with a cold one, and return the new one's name."""
         old = self.endpoints[name]
         old.alive = False
         old.readiness = Readiness.REMOVED
@@ -163,7 +164,7 @@
         return new_name
 
     def restart_routers(self, fraction: float) -> None:
-        """Restart a part of the routers at once, with nothing but the endpoint list."""
+        """Restart a fraction of the routers at once; they keep no state but the endpoint list."""
         count = round(fraction * len(self.routers))
         for router in self.rng.sample(range(len(self.routers)), count):
             self.records[router].restart()
@@ -216,7 +217,7 @@
         key = AttemptKey(router, request, number)
         self.outstanding.add(key)
         attempt = Attempt(key, self.records[router].incarnation, endpoint)
-        self._after(self.rng.uniform(*TRIP_US), self._reach_endpoint, attempt)
+        self._after(self.rng.uniform(*ONE_WAY_DELAY_US), self._reach_endpoint, attempt)
         self._after(timeout_us, self._end_attempt, attempt, self.now_us, Outcome.TIMEOUT)
 
     def _cancel(self, key: AttemptKey) -> None:
@@ -229,7 +230,7 @@
     def _start_health_check(self, router: int, endpoint: str) -> None:
         self.health_checks.append(Arrival(self.now_us, endpoint, str(router)))
         incarnation = self.records[router].incarnation
-        round_trip_us = 2 * self.rng.uniform(*TRIP_US)
+        round_trip_us = 2 * self.rng.uniform(*ONE_WAY_DELAY_US)
         self._after(round_trip_us, self._end_health_check, router, incarnation, endpoint, self.now_us)
 
     def _fire_timer(self, router: int, incarnation: int, key: int) -> None:
@@ -276,7 +277,7 @@
             self._after(took_us, self._complete, endpoint, attempt)
 
     def _warm_capacity(self, endpoint: EndpointModel) -> float:
-        """Return the part of its speed that the endpoint has, by its age."""
+        """Return the fraction of its speed that a warming endpoint has, by its age."""
         age_us = self.now_us - endpoint.started_us
         initial = self.settings.slow_start_initial_capacity
         return min(1.0, initial + (1 - initial) * age_us / self.settings.slow_start_us)
@@ -284,8 +285,8 @@
     def _complete(self, endpoint: EndpointModel, attempt: Attempt) -> None:
         endpoint.busy -= 1
         if endpoint.alive:
-            trip_us = self.rng.uniform(*TRIP_US)
-            self._after(trip_us, self._end_attempt, attempt, self.now_us, Outcome.OK)
+            delay_us = self.rng.uniform(*ONE_WAY_DELAY_US)
+            self._after(delay_us, self._end_attempt, attempt, self.now_us, Outcome.OK)
         self._start_queued(endpoint)
 
     def _end_attempt(self, attempt: Attempt, sent_us: int, outcome: Outcome) -> None:
@@ -317,20 +318,20 @@
             self.records[router].attempt_counts.pop(request, None)
 
     def _reported_role(self, name: str, outcome: Outcome) -> Role:
-        """Return the role that the response carries: none without a response."""
+        """Return the role that the response reports; unknown without a response."""
         endpoint = self.endpoints.get(name)
         if endpoint is None or outcome not in (Outcome.OK, Outcome.ERROR):
             return Role.UNKNOWN
         return Role.PRIMARY if endpoint.primary else Role.REPLICA
 
     def _sent_us(self, router: int, request: str, default_us: int) -> int:
-        """Return when the attempt that just ended was sent, as its router has it."""
+        """Return when the attempt that just ended was sent, by the router's record."""
         state = self.routers[router].state.requests.get(request)
         times = [sent.sent_us for sent in state.in_flight.values()] if state is not None else []
         return min(times, default=default_us)
 
     @property
     def served_fraction(self) -> float:
-        """The part of all requests that were served within the latency objective."""
+        """The fraction of all requests that were served within the latency objective."""
         arrived = sum(record.arrived for record in self.records)
         return sum(record.served_in_time for record in self.records) / max(arrived, 1)
--- a/juniperreel/emulator/virtual_time.py
+++ b/juniperreel/emulator/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time: a clock that jumps from one planned action to the next."""
+"""Virtual time: a clock that advances from one scheduled action to the next."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 
-class PlannedAction(NamedTuple):
-    """An entry of the heap; `sequence` orders actions of the same time, and keeps them out of comparisons."""
+class ScheduledAction(NamedTuple):
+    """A heap entry; `sequence` orders entries of the same time, so that actions are never compared."""
 
     at_us: int
     sequence: int
@@ -17,24 +17,24 @@
 
 
 class VirtualClock:
-    """A clock in microseconds, and what is planned on it.
+    """A clock in microseconds and the actions scheduled on it.
 
-    Actions of the same time run in the order in which they were planned.
+    Actions of the same time run in the order in which they were scheduled.
     """
 
     def __init__(self, start_us: int = 0) -> None:
         self.now_us = start_us
-        self._planned: list[PlannedAction] = []
+        self._scheduled: list[ScheduledAction] = []
         self._sequence = count()
 
     def at(self, time_us: int, action: Callable[[], object]) -> None:
-        """Plan an action at a time."""
-        heapq.heappush(self._planned, PlannedAction(time_us, next(self._sequence), action))
+        """Schedule an action at a time."""
+        heapq.heappush(self._scheduled, ScheduledAction(time_us, next(self._sequence), action))
 
     def run(self, until_us: int) -> None:
-        """Carry out what is planned up to a time, and what that plans; the clock shows the time then."""
-        while self._planned and self._planned[0].at_us <= until_us:
-            planned = heapq.heappop(self._planned)
-            self.now_us = planned.at_us
-            planned.action()
+        """Run all actions up to a time, including those scheduled meanwhile; the clock then has that time."""
+        while self._scheduled and self._scheduled[0].at_us <= until_us:
+            scheduled = heapq.heappop(self._scheduled)
+            self.now_us = scheduled.at_us
+            scheduled.action()
         self.now_us = until_us
