--- a/tests/e2e/test_path.py
+++ b/tests/e2e/test_path.py
@@ -242,7 +242,7 @@
 
 
 async def test_request_begun_before_the_shutdown_is_served(env: Environment) -> None:
-    """Guards against rejecting requests on connections that have not received their GOAWAY yet."""
+    """Guards against a shutdown that stops admission before clients know of it, and rejects their streams."""
     connection = await env.channel.connection()
     headers = encode_headers(
         [
