--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -18,7 +18,7 @@
 
 from juniperreel.cli.main import main
 from juniperreel.verification.records import EdgeUp, EndpointStarted, Recorder
-from tests.e2e.world import EDGE
+from tests.e2e.environment import EDGE_SETTINGS
 
 SCRIPTS_FOLDER = Path(__file__).parents[2] / "juniperreel" / "fakes" / "days"
 COMMAND = [sys.executable, "-m", "juniperreel.cli.main"]
@@ -40,7 +40,9 @@
         )
         assert self.fakes_process.stdout is not None
         hosts = self.fakes_process.stdout.readline().rpartition(":")[2].strip()
-        text = EDGE.format(hosts=hosts).replace("seed 5", f"seed 5\nmetrics 127.0.0.1:0{extra_directives}")
+        text = EDGE_SETTINGS.format(hosts=hosts).replace(
+            "seed 5", f"seed 5\nmetrics 127.0.0.1:0{extra_directives}"
+        )
         (folder / "edge.conf").write_text(text)
         self.edge_process = subprocess.Popen(
             [*COMMAND, "edge", str(folder / "edge.conf")], stderr=subprocess.PIPE, text=True
@@ -136,11 +138,13 @@
     (tmp_path / "token.key").write_bytes(b"k" * 32)
     (tmp_path / "ada.password").write_bytes(b"love lace")
     valid = tmp_path / "valid.conf"
-    valid.write_text(EDGE.format(hosts=7000))
+    valid.write_text(EDGE_SETTINGS.format(hosts=7000))
     assert CliRunner().invoke(main, ["check", str(valid)]).output.endswith("good; 4 classes, 1 groups\n")
     invalid = tmp_path / "invalid.conf"
     invalid.write_text(
-        EDGE.format(hosts=7000).replace("drain-grace 2s", "drain-grace 1ms").replace("edges 1", "edges 0")
+        EDGE_SETTINGS.format(hosts=7000)
+        .replace("drain-grace 2s", "drain-grace 1ms")
+        .replace("edges 1", "edges 0")
     )
     result = CliRunner().invoke(main, ["check", str(invalid)])
     assert result.exit_code == 2
--- a/tests/cli/test_configd.py
+++ b/tests/cli/test_configd.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.cli.test_commands import COMMAND
-from tests.e2e.world import EDGE
+from tests.e2e.environment import EDGE_SETTINGS
 
 SETTINGS_TEMPLATE = """
 [instance]
@@ -89,7 +89,7 @@
 
 
 def test_cluster_serves_commands_after_losing_its_leader(cluster: ThreeInstanceCluster) -> None:
-    (cluster.folder / "edge.conf").write_text(EDGE.format(hosts=7000))
+    (cluster.folder / "edge.conf").write_text(EDGE_SETTINGS.format(hosts=7000))
     for _ in range(20):  # the instances may still be starting
         seed_result = cluster.config("seed", str(cluster.folder / "edge.conf"))
         if seed_result.returncode == 0:
