--- a/fuzz/mysql_target.py
+++ b/fuzz/mysql_target.py
@@ -25,7 +25,7 @@
     from juniperreel.mysql.packets import Cursor, ProtocolError, encode_packets
     from juniperreel.mysql.replies import decode_err, decode_ok
     from juniperreel.mysql.server import Command, ServerSession, State
-    from juniperreel.pool.gtid import BadGtid, GtidSet
+    from juniperreel.pool.gtid import GtidSet, InvalidGtidError
     from juniperreel.statements import LexerMode, StatementKind, classify_statement
     from juniperreel.statements.lexer import AmbiguousTextError, TokenType, tokenize
     from juniperreel.statements.plain_reads import WRITE_KEYWORDS
@@ -85,8 +85,8 @@
             row(definitions, data[5:])
     with contextlib.suppress(ProtocolError):
         parameters.decode_query_attributes(Cursor(data))
-    with contextlib.suppress(BadGtid):
-        GtidSet.of(data.decode("latin-1"))
+    with contextlib.suppress(InvalidGtidError):
+        GtidSet.parse(data.decode("latin-1"))
 
 
 def reader(data: bytes) -> None:
