--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,6 @@
-"""Concurrency limits in virtual time: step response, priority, fairness. Draws a figure into docs/design.
+"""Simulates concurrency limits in virtual time: step response, priority, fairness. Plots into docs/design.
 
-.venv/bin/python benchmarks/admission.py [FOLDER]
+.venv/bin/python benchmarks/admission.py [DIRECTORY]
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 DURATION_S = 60
 FAILURE_S = 20
 RECOVERY_S = 40
-DRAWN_LIMIT = 200.0  # higher limits are cut off in the figure
+PLOTTED_LIMIT = 200.0  # higher limits are cut off in the figure
 LimitFactory = Callable[[float], ConcurrencyLimit]
 LIMITS: dict[str, LimitFactory] = {
     "AIMD on the latency objective (in use)": ConcurrencyLimit,
@@ -39,12 +39,14 @@
 
 
 def make_servers() -> list[Server]:
-    """Return the group's endpoints, all idle."""
+    """Return the endpoints of the group, all idle."""
     return [Server(CORES) for _ in range(SERVERS)]
 
 
-def play_steps(make_limit: LimitFactory, controllers: int, admission_control: bool = True) -> AdmissionModel:
-    """Offer three times the capacity; half of the endpoints die at 20 s and are back at 40 s."""
+def simulate_steps(
+    make_limit: LimitFactory, controllers: int, admission_control: bool = True
+) -> AdmissionModel:
+    """Offer three times the capacity; half of the endpoints fail at 20 s and recover at 40 s."""
     model = AdmissionModel(
         make_settings(router_count=controllers),
         make_servers(),
@@ -62,66 +64,69 @@
 
 
 def served_each_second(model: AdmissionModel) -> list[float]:
-    """Return the requests served in time, second by second."""
+    """Return the rate of requests served in time, for each second."""
     return [
         model.rate(Result.SERVED, second * SECOND_US, (second + 1) * SECOND_US)
         for second in range(DURATION_S)
     ]
 
 
-def print_steps(model: AdmissionModel, name: str, controllers: int) -> None:
-    """Print what was served before, during and after the failure."""
+def print_step_rates(model: AdmissionModel, name: str, controllers: int) -> None:
+    """Print the rate of served requests before, during and after the failure."""
     spans = ((5, FAILURE_S), (22, RECOVERY_S), (45, DURATION_S))
     rates = (model.rate(Result.SERVED, start * SECOND_US, end * SECOND_US) for start, end in spans)
     served = ", ".join(f"{rate:.0f}" for rate in rates)
     late = model.rate(Result.LATE, 0, DURATION_S * SECOND_US)
-    print(f"{controllers} controllers, {name}: served a second {served}; late {late:.1f}")
+    print(f"{controllers} controllers, {name}: served per second {served}; late {late:.1f}")
 
 
-def draw_steps(folder: Path) -> None:
-    """Draw and print the step response of each limit, with one controller and with four."""
+def plot_steps(directory: Path) -> None:
+    """Plot and print the step response of each limit, with one controller and with four."""
     figure, axes = pyplot.subplots(2, 2, figsize=(14, 9))
     for column, controllers in enumerate((1, 4)):
         served_axis = axes[0][column]
         limit_axis = axes[1][column]
         for name, make_limit in LIMITS.items():
-            model = play_steps(make_limit, controllers)
+            model = simulate_steps(make_limit, controllers)
             served_axis.plot(served_each_second(model), label=name)
             times_s = [sample.at_us / SECOND_US for sample in model.limits]
-            totals = [min(sum(sample.values), DRAWN_LIMIT) for sample in model.limits]
+            totals = [min(sum(sample.values), PLOTTED_LIMIT) for sample in model.limits]
             limit_axis.plot(times_s, totals, label=name, lw=0.8)
-            print_steps(model, name, controllers)
-        model = play_steps(ConcurrencyLimit, controllers, admission_control=False)
+            print_step_rates(model, name, controllers)
+        model = simulate_steps(ConcurrencyLimit, controllers, admission_control=False)
         served_axis.plot(served_each_second(model), label="no admission control", ls=":")
         served_axis.axhline(CAPACITY, color="grey", lw=0.5)
         served_axis.set_title(
-            f"{controllers} controller(s): served in time, a second; "
+            f"{controllers} controller(s): served in time per second; "
             f"capacity {CAPACITY:.0f}, half at 20 to 40 s"
         )
-        limit_axis.set_title("limit on requests in flight, all controllers (cut at 200)")
+        limit_axis.set_title("limit on requests in flight, all controllers (cut off at 200)")
         served_axis.legend(fontsize=7)
     figure.tight_layout()
-    figure.savefig(folder / "admission-steps.png", dpi=70)
+    figure.savefig(directory / "admission-steps.png", dpi=70)
 
 
-def print_band() -> None:
-    """Print how far the limit swings in the steady state."""
+def print_limit_range() -> None:
+    """Print the range of the limit in the steady state."""
     for controllers in (1, 4):
-        model = play_steps(ConcurrencyLimit, controllers)
+        model = simulate_steps(ConcurrencyLimit, controllers)
         for start, end in ((5, FAILURE_S), (25, RECOVERY_S), (45, DURATION_S)):
             values = model.total_limits(start * SECOND_US, end * SECOND_US)
             mean = sum(values) / len(values)
-            least = min(values) / mean
-            most = max(values) / mean
+            lowest = min(values) / mean
+            highest = max(values) / mean
             print(
                 f"{controllers} controllers, {start} to {end} s: "
-                f"limit {mean:.1f}, from {least:.2f} to {most:.2f} of it"
+                f"limit {mean:.1f}, from {lowest:.2f} to {highest:.2f} of it"
             )
 
 
 def print_priority() -> None:
-    """Offer two classes at four times the capacity; compare with the best choice, known afterwards."""
-    classes = (make_request_class("cheap", 1.0), make_request_class("dear", 3.0))
+    """Offer two classes at four times the capacity.
+
+    Prints the sum of the priority weights served as a fraction of the best possible sum.
+    """
+    classes = (make_request_class("low", 1.0), make_request_class("high", 3.0))
     tenants = (Tenant("a", 0.69, 0), Tenant("b", 0.16, 0), Tenant("c", 0.15, 0))
     model = AdmissionModel(make_settings(classes, tenants), make_servers(), WORK_US)
     for index, tenant in enumerate(tenants):
@@ -131,20 +136,20 @@
     model.run(20 * SECOND_US)
     start_us = 3 * SECOND_US
     end_us = 20 * SECOND_US
-    dear = model.rate(Result.SERVED, start_us, end_us, class_index=1)
-    cheap = model.rate(Result.SERVED, start_us, end_us, class_index=0)
-    offered = dear + model.rate(Result.REJECTED, start_us, end_us, class_index=1)
-    total = dear + cheap
+    high = model.rate(Result.SERVED, start_us, end_us, class_index=1)
+    low = model.rate(Result.SERVED, start_us, end_us, class_index=0)
+    offered = high + model.rate(Result.REJECTED, start_us, end_us, class_index=1)
+    total = high + low
     best = 3 * min(offered, total) + max(total - offered, 0)
-    part = (3 * dear + cheap) / best
+    fraction = (3 * high + low) / best
     print(
-        f"priority weight at four times the capacity: {part:.3f} of the best choice; "
-        f"dear {dear:.0f} of {offered:.0f}"
+        f"priority weight at four times the capacity: {fraction:.3f} of the best possible; "
+        f"high priority {high:.0f} of {offered:.0f}"
     )
 
 
 def print_fairness() -> None:
-    """Offer one tenant at ten times its share beside two within theirs."""
+    """Offer ten times its share for one tenant, and less than their share for two others."""
     tenants = (Tenant("greedy", 0.4, 0), Tenant("b", 0.3, 0), Tenant("c", 0.3, 0))
     model = AdmissionModel(make_settings(tenants=tenants), make_servers(), WORK_US)
     model.load(Load(4 * CAPACITY, tenant_index=0))
@@ -154,14 +159,14 @@
     for index in range(len(tenants)):
         served = model.rate(Result.SERVED, 3 * SECOND_US, 20 * SECOND_US, index)
         rejected = model.rate(Result.REJECTED, 3 * SECOND_US, 20 * SECOND_US, index)
-        print(f"tenant {index}: {served:.0f} served, {rejected:.1f} rejected a second")
+        print(f"tenant {index}: {served:.0f} served, {rejected:.1f} rejected per second")
 
 
 def main() -> None:
-    """Draw the figure and print the table."""
-    folder = Path(sys.argv[1]) if len(sys.argv) > 1 else Path(__file__).parent.parent / "docs/design"
-    draw_steps(folder)
-    print_band()
+    """Plot the figure and print the table."""
+    directory = Path(sys.argv[1]) if len(sys.argv) > 1 else Path(__file__).parent.parent / "docs/design"
+    plot_steps(directory)
+    print_limit_range()
     print_priority()
     print_fairness()
 
