--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -1,14 +1,16 @@
-"""What the pool's decisions cost and bring, in one run.
+"""Measures the effect and the cost of the connection pool's design decisions.
 
     .venv/bin/python benchmarks/pool.py [--plot docs/design/pool-openings.png] [--transactions 3000]
 
-- the core in virtual time: connections opened at an endpoint that has just come back, with and without pacing
-  (plotted), and how long tenants wait beside one that sends ten times its share, by shares and in one queue;
-- the edge with fake endpoints: transactions per second and p99 by connections to each endpoint, up to one per
-  session;
-- memory of idle sessions: 10,000 of them, none with a backend connection of its own.
+- the core in virtual time: the connections opened to an endpoint that has just recovered, with and without
+  pacing (plotted), and how long tenants wait beside one that sends ten times its share, with a queue per
+  tenant and with a single queue;
+- the edge with fake endpoints: transactions per second and p99 by the number of connections to each endpoint,
+  up to one per session;
+- the memory of 10,000 idle sessions, none of which has a backend connection of its own.
 
-The first part is the same on every machine; of the others only ratios within one run are meaningful.
+The first part gives the same results on every machine; of the others only ratios within one run are
+meaningful.
 """
 
 from __future__ import annotations
@@ -66,8 +68,8 @@
 PLOT_BUCKET_US = 100_000
 
 TENANT_SHARES = (0.6, 0.25, 0.15)
-TENANT_LOADS = (0.9, 10.0, 0.9)  # of what its share allows
-TENANT_LABELS = ("0.9 of its 60 parts", "ten times its 25", "0.9 of its 15")
+TENANT_LOADS = (0.9, 10.0, 0.9)  # relative to the capacity of its share
+TENANT_LABELS = ("0.9 of its share of 60%", "ten times its share of 25%", "0.9 of its share of 15%")
 TENANT_CONNECTIONS = 4
 TENANT_US = 10 * US
 
@@ -77,7 +79,7 @@
 
 
 class Arrival(NamedTuple):
-    """When a request came, and from which tenant."""
+    """When a request arrived, and from which tenant."""
 
     at_us: int
     tenant: int
@@ -85,18 +87,18 @@
 
 @dataclass(order=True)
 class Event:
-    """Something that is due; events of the same time run in the order in which they were scheduled."""
+    """A scheduled callback; events due at the same time run in the order in which they were scheduled."""
 
     due_us: int
     sequence: int
     callback: Callable[[], None]
 
 
-class Model:
+class PoolModel:
     """The pools of several proxies in front of one endpoint, in virtual time.
 
-    Opening a connection takes `OPEN_US`, and `OPEN_CONTENTION_US` more for each other that the endpoint is
-    accepting at the same time; a transaction takes `TRANSACTION_US` on average.
+    Opening a connection takes `OPEN_US`, and `OPEN_CONTENTION_US` more for each other connection that the
+    endpoint is accepting at the same time; a transaction takes `TRANSACTION_US` on average.
     """
 
     def __init__(self, config: PoolConfig, proxies: int, seed: int = 1) -> None:
@@ -113,19 +115,19 @@
         self.single_queue = False
 
     def schedule(self, due_us: int, callback: Callable[[], None]) -> None:
-        """Run `callback` at a time."""
+        """Run `callback` at `due_us`."""
         self.sequence += 1
         heapq.heappush(self.events, Event(due_us, self.sequence, callback))
 
     def run(self, until_us: int) -> None:
-        """Run all events up to a time."""
+        """Run all events up to `until_us`."""
         while self.events and self.events[0].due_us <= until_us:
             event = heapq.heappop(self.events)
             self.now_us = event.due_us
             event.callback()
 
-    def carry_out(self, pool: Pool[int], actions: Iterable[PoolAction[int]]) -> None:
-        """Do what a pool asks for."""
+    def execute(self, pool: Pool[int], actions: Iterable[PoolAction[int]]) -> None:
+        """Execute the actions that a pool returned."""
         for action in actions:
             match action:
                 case LeaseGranted(lease):
@@ -138,11 +140,11 @@
                     self.rejected[self.arrivals.pop(request.id).tenant] += 1
 
     def acquire(self, pool: Pool[int], tenant: int) -> None:
-        """A tenant's request arrives."""
+        """Let a request of a tenant arrive now."""
         self.sequence += 1
         self.arrivals[self.sequence] = Arrival(self.now_us, tenant)
         request = AcquireRequest(self.sequence, SINGLE_QUEUE_TENANT if self.single_queue else tenant)
-        self.carry_out(pool, pool.acquire(self.now_us, request))
+        self.execute(pool, pool.acquire(self.now_us, request))
 
     def add_load(self, pool: Pool[int], tenant: int, rate: float, until_us: int) -> None:
         """Schedule a tenant's requests: a Poisson process of `rate` per second."""
@@ -157,7 +159,7 @@
                 self.schedule(due_us, lambda pool=pool: self._tick(pool))  # type: ignore[misc]
 
     def _tick(self, pool: Pool[int]) -> None:
-        self.carry_out(pool, pool.tick(self.now_us))
+        self.execute(pool, pool.tick(self.now_us))
 
     def _start_transaction(self, pool: Pool[int], lease: Lease[int]) -> None:
         arrival = self.arrivals.pop(lease.request.id)
@@ -166,16 +168,16 @@
         self.schedule(self.now_us + duration_us, lambda: self._finish_transaction(pool, lease))
 
     def _finish_transaction(self, pool: Pool[int], lease: Lease[int]) -> None:
-        self.carry_out(pool, pool.release(self.now_us, lease, True))
+        self.execute(pool, pool.release(self.now_us, lease, True))
 
     def _finish_opening(self, pool: Pool[int]) -> None:
         self.opening -= 1
         self.opened_at.append(self.now_us)
-        self.carry_out(pool, pool.connection_opened(self.now_us, self.sequence))
+        self.execute(pool, pool.connection_opened(self.now_us, self.sequence))
 
 
-def simulate_reconnect(paced: bool) -> Model:
-    """All proxies find an endpoint again at the same moment, each with requests waiting."""
+def simulate_reconnect(paced: bool) -> PoolModel:
+    """All proxies reconnect to a recovered endpoint at the same time, each with requests waiting."""
     config = PoolConfig(
         max_connections=RECONNECT_CONNECTIONS,
         max_waiters=100,
@@ -183,7 +185,7 @@
         open_rate=2.0 if paced else 1e9,
         open_burst=1.0 if paced else 1e9,
     )
-    model = Model(config, RECONNECT_PROXIES)
+    model = PoolModel(config, RECONNECT_PROXIES)
     for pool in model.pools:
         for _ in range(RECONNECT_WAITERS):
             model.schedule(0, lambda pool=pool: model.acquire(pool, 0))  # type: ignore[misc]
@@ -193,10 +195,10 @@
     return model
 
 
-def simulate_tenants(fair: bool) -> Model:
+def simulate_tenants(fair: bool) -> PoolModel:
     """Three tenants, the second of which sends ten times its share.
 
-    Without `fair`, the pool sees all requests as one tenant's, and only the model tells them apart.
+    Without `fair`, the pool gets all requests as those of one tenant; only the model knows their tenants.
     """
     config = PoolConfig(
         max_connections=TENANT_CONNECTIONS,
@@ -205,7 +207,7 @@
         open_burst=10,
         tenant_shares=TENANT_SHARES if fair else (),
     )
-    model = Model(config, 1)
+    model = PoolModel(config, 1)
     (pool,) = model.pools
     capacity = TENANT_CONNECTIONS / 0.008
     for tenant, (share, load) in enumerate(zip(TENANT_SHARES, TENANT_LOADS, strict=True)):
@@ -217,7 +219,7 @@
 
 
 def percentile_ms(values_us: list[int], fraction: float) -> float:
-    """A percentile in milliseconds; 0 of no values."""
+    """A percentile in milliseconds; 0 if there are no values."""
     if not values_us:
         return 0.0
     ordered = sorted(values_us)
@@ -225,7 +227,7 @@
 
 
 def report_reconnect(plot: Path | None) -> None:
-    """Print, and plot, how many connections are opened at an endpoint that has come back."""
+    """Print and plot how many connections are opened to an endpoint that has recovered."""
     figure, axes = pyplot.subplots(figsize=(8, 3.5))
     for label, paced in (("paced", True), ("not paced", False)):
         model = simulate_reconnect(paced)
@@ -235,16 +237,17 @@
         waits = [wait for waits_us in model.waits_us.values() for wait in waits_us]
         rejected = sum(model.rejected.values())
         print(
-            f"an endpoint back before {RECONNECT_PROXIES} proxies, {label}: "
-            f"{max(opened.values())} connections opened in the worst 100 ms, {len(model.opened_at)} in all; "
+            f"endpoint recovered, {RECONNECT_PROXIES} proxies, {label}: "
+            f"{max(opened.values())} connections opened in the worst 100 ms, "
+            f"{len(model.opened_at)} in total; "
             f"waited p50 {percentile_ms(waits, 0.5):.0f} ms, p99 {percentile_ms(waits, 0.99):.0f} ms, "
             f"{rejected} rejected of {len(waits) + rejected}"
         )
         buckets = range(RECONNECT_US // PLOT_BUCKET_US)
         seconds = [bucket * PLOT_BUCKET_US / US for bucket in buckets]
         axes.step(seconds, [opened[bucket] for bucket in buckets], where="post", label=label)
-    axes.set_xlabel("seconds after the endpoint is back")
-    axes.set_ylabel("connections opened in 100 ms")
+    axes.set_xlabel("seconds after the endpoint has recovered")
+    axes.set_ylabel("connections opened per 100 ms")
     axes.set_yscale("symlog")
     axes.legend()
     if plot is not None:
@@ -252,37 +255,37 @@
 
 
 def report_tenants() -> None:
-    """Print how long each tenant waits, by shares and in one queue."""
-    for label, fair in (("by shares", True), ("in one plain queue", False)):
+    """Print how long each tenant waits, with a queue per tenant and with a single queue."""
+    for label, fair in (("queue per tenant", True), ("single queue", False)):
         model = simulate_tenants(fair)
         for tenant, load_label in enumerate(TENANT_LABELS):
             waits = model.waits_us[tenant]
             print(
-                f"{label}, a tenant that sends {load_label}: {len(waits)} served, "
+                f"{label}, tenant that sends {load_label}: {len(waits)} served, "
                 f"{model.rejected[tenant]} rejected, waited p50 {percentile_ms(waits, 0.5):.0f} ms, "
-                f"p99 {percentile_ms(waits, 0.99):.0f}"
+                f"p99 {percentile_ms(waits, 0.99):.0f} ms"
             )
 
 
 def report_pool_sizes(transactions: int) -> None:
-    """Print throughput by the number of connections."""
+    """Print the throughput by the number of connections."""
     for connections in (1, 2, 4, 8, 16, 64):
         with tempfile.TemporaryDirectory() as directory:
             result = trio.run(soak, Path(directory), transactions, SOAK_SESSIONS, connections, 1)
         figures = result.summary.split(";")[0]
         print(f"{SOAK_SESSIONS} sessions, {connections} connections to each of 3 endpoints: {figures}")
         for violation in result.violations:
-            print(f"WRONG: {violation}")
+            print(f"violation: {violation}")
 
 
 def report_session_memory() -> None:
-    """Print the memory of an idle session of the MySQL frontend, logged in over an in-memory stream."""
+    """Print the memory per idle session of the MySQL front end, logged in over an in-memory stream."""
     kib = trio.run(measure_session_kib)
-    print(f"an idle session, its client and both streams in the same process: {kib:.1f} KiB")
+    print(f"idle session with its client and both streams, in one process: {kib:.1f} KiB")
 
 
 async def measure_session_kib() -> float:
-    """Memory of one idle session, its client and their streams."""
+    """Return the memory of one idle session, its client and their streams."""
     from juniperreel.frontends.mysql.classification import RequestClassifier
     from juniperreel.frontends.mysql.context import MysqlOptions
     from juniperreel.frontends.mysql.frontend import MysqlFrontend, generate_nonce
@@ -290,10 +293,10 @@
     from juniperreel.mysql.client import ClientSession
     from juniperreel.net import Clock
 
-    no_proxy: Any = SimpleNamespace(options=SimpleNamespace(mysql=True, groups=1), log=None)
+    proxy_stub: Any = SimpleNamespace(options=SimpleNamespace(mysql=True, groups=1), log=None)
     credentials = {"app": Credential.from_password(b"app")}
     options = MysqlOptions(credentials, RequestClassifier([], 0, 0, -1), 20_000, 1 << 20)
-    frontend = MysqlFrontend(no_proxy, no_proxy, Clock(), options, generate_nonce)
+    frontend = MysqlFrontend(proxy_stub, proxy_stub, Clock(), options, generate_nonce)
     sessions: list[Any] = []
     async with trio.open_nursery() as nursery:
 
@@ -317,7 +320,7 @@
 
 
 def main() -> None:
-    """Run all parts."""
+    """Run all parts of the benchmark."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--plot", type=Path)
     parser.add_argument("--transactions", type=int, default=3000)
--- a/benchmarks/pool_soak.py
+++ b/benchmarks/pool_soak.py
@@ -1,16 +1,16 @@
-"""Many short transactions of many sessions over few connections, some of which are killed on the way.
+"""Soak test of the pool: transactions of many sessions over few connections, some of which are killed.
 
-Sessions prepare a few statements each under ids that are the same everywhere, set variables of their own, and
-run short transactions; connections to the endpoints are killed at random, from a seed. Endpoints record what
-they executed, clients what they intended; the checker (`verification/executions.py`) compares the two
-statement by statement. Everything runs in one process:
+Each session prepares a few statements, whose ids are the same in all sessions, sets its own variables and
+runs short transactions; connections to the endpoints are killed at random times, from a seed. Endpoints
+record what they executed, and clients what they intended; the checker (`verification/executions.py`) compares
+the two statement by statement. Everything runs in one process:
 
     .venv/bin/python benchmarks/pool_soak.py [--transactions 100000] [--sessions 300]
         [--connections 10] [--seed 1]
 
-Prints transactions per second, and exits with 1 if anything was executed otherwise than intended, if a client
-was told that a statement is not prepared, or if a lease was not released. `tests/e2e/test_pool_soak.py` runs
-a smaller form.
+Prints transactions per second, and exits with 1 if a statement was not executed as intended, if a client got
+the error that a statement is not prepared, or if a lease was not released. `tests/e2e/test_pool_soak.py` runs
+it with fewer transactions.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 from juniperreel.verification.executions import ExecutionCounts, check_executions
 from juniperreel.verification.records import Recorder, StatementIntended
 
-DAY = """groups 1
+FLEET_SCRIPT = """groups 1
 members 3
 read-work 0ms
 write-work 0ms
@@ -111,14 +111,14 @@
 [log]
 level warning
 """
-TEXTS = [f"select {n}, ?, ?, id from runs where number < {n % 3}" for n in range(40)]
-TEXTS_PER_SESSION = 5
+STATEMENTS = [f"select {n}, ?, ?, id from runs where number < {n % 3}" for n in range(40)]
+STATEMENTS_PER_SESSION = 5
 TIME_ZONES = ["'+01:00'", "'+02:00'", "'SYSTEM'"]
 ENDPOINTS = 3
 SET_PROBABILITY = 0.1
 AUTOCOMMIT_PROBABILITY = 0.3
-MAX_STATEMENTS = 3
-RETRY_LATER_CODES = (1205, 1040)  # rejected with a request to come back
+MAX_TRANSACTION_STATEMENTS = 3
+RETRY_LATER_CODES = (1205, 1040)  # rejected by the edge; the client retries later
 RETRY_DELAY_S = (0.05, 0.2)
 KILL_INTERVAL_S = (0.01, 0.1)
 START_TIMEOUT_S = 30
@@ -127,8 +127,8 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Counts over all sessions; `remaining` transactions are still to be run."""
+class SoakCounts:
+    """Counters of all sessions; `remaining` is the number of transactions still to be run."""
 
     remaining: int
     transactions: int = 0
@@ -139,31 +139,31 @@
 
 
 class SoakResult(NamedTuple):
-    """What was executed otherwise than intended, and a line of figures."""
+    """Violations that the checker found, and a line of figures."""
 
     violations: list[str]
     summary: str
 
 
 class Session:
-    """One client: prepares, sets variables, runs transactions; after any error it rolls back and goes on."""
+    """A client that prepares statements, sets variables, runs transactions and rolls back after errors."""
 
     def __init__(
-        self, number: int, port: int, record: Recorder, random_source: random.Random, tally: Tally
+        self, number: int, port: int, record: Recorder, random_source: random.Random, counts: SoakCounts
     ) -> None:
         self.number = number
         self._port = port
         self._record = record
         self._random = random_source
-        self._tally = tally
-        self._texts = random_source.sample(TEXTS, TEXTS_PER_SESSION)
+        self._counts = counts
+        self._texts = random_source.sample(STATEMENTS, STATEMENTS_PER_SESSION)
         self._statement_ids: dict[str, int] = {}
         self._variables: dict[str, str] = {}
         self._executions = 0
 
     async def run(self) -> None:
-        """Run transactions until enough were run by all, reconnecting as needed."""
-        while self._tally.remaining > 0:
+        """Run transactions until all sessions together have run enough, reconnecting as needed."""
+        while self._counts.remaining > 0:
             stream = await trio.open_tcp_stream("127.0.0.1", self._port)
             try:
                 with suppress(trio.BrokenResourceError, EOFError):
@@ -179,16 +179,16 @@
         while self._client.state.value != "ready":
             self._client.receive(await self._read())
             await stream.send_all(self._client.data_to_send())
-        while self._tally.remaining > 0:
+        while self._counts.remaining > 0:
             start_s = time.perf_counter()
             if self._random.random() < SET_PROBABILITY:
                 await self._set_variable()
-            rejected_before = self._tally.rejected
+            rejected_before = self._counts.rejected
             if await self._run_transaction():
-                self._tally.remaining -= 1
-                self._tally.transactions += 1
-                self._tally.durations_s.append(time.perf_counter() - start_s)
-            elif self._tally.rejected > rejected_before:
+                self._counts.remaining -= 1
+                self._counts.transactions += 1
+                self._counts.durations_s.append(time.perf_counter() - start_s)
+            elif self._counts.rejected > rejected_before:
                 await trio.sleep(self._random.uniform(*RETRY_DELAY_S))
 
     async def _read(self) -> bytes:
@@ -198,7 +198,7 @@
         return bytes(data)
 
     async def _receive_response(self) -> Event:
-        """Send what is pending, and return the last event of its response."""
+        """Send pending data, and return the last event of the response."""
         await self._stream.send_all(self._client.data_to_send())
         last: Event | None = None
         while self._client.in_flight:
@@ -212,7 +212,7 @@
         return last
 
     async def _query(self, text: str) -> int:
-        """Run a statement; its error code, or 0."""
+        """Run a statement and return its error code, or 0."""
         self._client.query(text.encode())
         response = await self._receive_response()
         return response.err.code if isinstance(response, Failed) else 0
@@ -229,31 +229,31 @@
             self._variables[name] = value
 
     async def _run_transaction(self) -> bool:
-        """Whether it was committed."""
+        """Run a transaction and return whether it was committed."""
         autocommit = self._random.random() < AUTOCOMMIT_PROBABILITY
         if not autocommit and await self._query("begin"):
             return False
-        statements = 1 if autocommit else self._random.randint(1, MAX_STATEMENTS)
+        statements = 1 if autocommit else self._random.randint(1, MAX_TRANSACTION_STATEMENTS)
         for _ in range(statements):
             code = await self._execute(self._random.choice(self._texts))
             if code:
                 if code in RETRY_LATER_CODES:
-                    self._tally.rejected += 1
+                    self._counts.rejected += 1
                 else:
-                    self._tally.rolled_back += 1
+                    self._counts.rolled_back += 1
                 if not autocommit:
                     await self._query("rollback")
                 return False
         if autocommit:
             return True
         if await self._query("commit"):
-            self._tally.rolled_back += 1
+            self._counts.rolled_back += 1
             await self._query("rollback")
             return False
         return True
 
     async def _execute(self, text: str) -> int:
-        """Execute a prepared statement, and record what it should return; its error code, or 0."""
+        """Execute a prepared statement, record the intended execution, and return the error code, or 0."""
         if text not in self._statement_ids:
             self._client.prepare(text.encode())
             prepared = await self._receive_response()
@@ -262,7 +262,7 @@
             assert isinstance(prepared, StatementPrepared)
             self._statement_ids[text] = prepared.id
         self._executions += 1
-        serial = f"serial-{self.number}-{id(self._stream)}-{self._executions}-{self._tally.remaining}"
+        serial = f"serial-{self.number}-{id(self._stream)}-{self._executions}-{self._counts.remaining}"
         values: list[Any] = [serial, self._random.randint(0, 99)]
         self._client.execute(self._statement_ids[text], values)
         code = 0
@@ -279,16 +279,16 @@
 
 
 async def soak(directory: Path, transactions: int, sessions: int, connections: int, seed: int) -> SoakResult:
-    """Run the sessions against an edge with fake endpoints, and check what was executed."""
+    """Run the sessions against an edge with fake endpoints, and check the recorded executions."""
     for name, secret in (("member", PASSWORD), ("app", b"app")):
         (directory / f"{name}.password").write_bytes(secret)
     (directory / "token.key").write_bytes(b"k" * 32)
     recorder = Recorder()
-    tally = Tally(transactions)
+    counts = SoakCounts(transactions)
     clock = Clock()
     network = TcpNetwork()
     async with trio.open_nursery() as nursery:
-        fleet = Fleet(parse(DAY.format(seed=seed)), network, clock, recorder)
+        fleet = Fleet(parse(FLEET_SCRIPT.format(seed=seed)), network, clock, recorder)
         await nursery.start(fleet.run)
         text = EDGE.format(seed=seed, hosts=fleet.endpoint_list.port, user=USER, connections=connections)
         settings = parse_edge(text.encode(), "edge.conf", directory)
@@ -299,78 +299,79 @@
                 while len(edge.driver.router.state.endpoints) < ENDPOINTS:
                     await trio.sleep(0.02)
             start_s = time.perf_counter()
-            await run_sessions(edge, fleet, recorder, tally, sessions, seed)
+            await run_sessions(edge, fleet, recorder, counts, sessions, seed)
             duration_s = time.perf_counter() - start_s
-            links = edge.driver.endpoints
-            assert isinstance(links, MysqlEndpoints)
-            violations = await unreleased_leases(links)
-            count = ExecutionCounts()
-            violations += check_executions(recorder.records, count)
+            endpoints = edge.driver.endpoints
+            assert isinstance(endpoints, MysqlEndpoints)
+            violations = await unreleased_leases(endpoints)
+            execution_counts = ExecutionCounts()
+            violations += check_executions(recorder.records, execution_counts)
             summary = (
-                f"{summarize(tally, duration_s)}; {count.executed} executions of {count.texts} texts "
-                "checked, "
+                f"{summarize(counts, duration_s)}; {execution_counts.executed} executions of "
+                f"{execution_counts.texts} texts checked, "
                 f"{sessions} sessions over at most {ENDPOINTS * connections} connections, "
-                f"{links.connections_opened} opened, {links.statements_replayed} replays"
+                f"{endpoints.connections_opened} opened, {endpoints.statements_replayed} replays"
             )
         nursery.cancel_scope.cancel()
     return SoakResult(violations, summary)
 
 
 async def run_sessions(
-    edge: Edge, fleet: Fleet, recorder: Recorder, tally: Tally, sessions: int, seed: int
+    edge: Edge, fleet: Fleet, recorder: Recorder, counts: SoakCounts, sessions: int, seed: int
 ) -> None:
-    """Run all sessions to their end, while connections are killed."""
+    """Run all sessions to completion while connections are killed."""
     assert edge.mysql is not None
-    async with trio.open_nursery() as killers:
-        killers.start_soon(kill_connections, fleet, random.Random(seed), tally)
-        async with trio.open_nursery() as clients:
+    async with trio.open_nursery() as killer_nursery:
+        killer_nursery.start_soon(kill_connections, fleet, random.Random(seed), counts)
+        async with trio.open_nursery() as client_nursery:
             for number in range(sessions):
                 random_source = random.Random(seed * 100_000 + number)
-                session = Session(number, edge.mysql_port, recorder, random_source, tally)
-                clients.start_soon(session.run)
-        killers.cancel_scope.cancel()
+                session = Session(number, edge.mysql_port, recorder, random_source, counts)
+                client_nursery.start_soon(session.run)
+        killer_nursery.cancel_scope.cancel()
 
 
-async def kill_connections(fleet: Fleet, random_source: random.Random, tally: Tally) -> None:
-    """Kill one connection now and then, wherever it is in its statement."""
+async def kill_connections(fleet: Fleet, random_source: random.Random, counts: SoakCounts) -> None:
+    """Kill a random connection at random intervals, at any point of a statement."""
     while True:
         await trio.sleep(random_source.uniform(*KILL_INTERVAL_S))
         endpoint = random_source.choice(list(fleet.endpoints.values()))
-        threads = endpoint.mysql.connection_numbers()
-        if threads:
-            endpoint.kill_connection(random_source.choice(threads))
-            tally.killed += 1
+        connection_numbers = endpoint.mysql.connection_numbers()
+        if connection_numbers:
+            endpoint.kill_connection(random_source.choice(connection_numbers))
+            counts.killed += 1
 
 
-async def unreleased_leases(links: MysqlEndpoints) -> list[str]:
-    """One line for each pool that still has leases or waiters after a while."""
+async def unreleased_leases(endpoints: MysqlEndpoints) -> list[str]:
+    """Return a line for each pool that still has leases or waiters after `RELEASE_TIMEOUT_S`."""
     with trio.move_on_after(RELEASE_TIMEOUT_S):
-        while any(pool.leased or pool.waiting for pool in links.pools().values()):
+        while any(pool.leased or pool.waiting for pool in endpoints.pools().values()):
             await trio.sleep(0.02)
     return [
-        f"{name}: {pool.leased} leases were not released, {pool.waiting} requests wait"
-        for name, pool in links.pools().items()
+        f"{name}: {pool.leased} leases were not released, {pool.waiting} requests are waiting"
+        for name, pool in endpoints.pools().items()
         if pool.leased or pool.waiting
     ]
 
 
-def summarize(tally: Tally, duration_s: float) -> str:
-    """Throughput, latency and errors in one line."""
-    durations_s = sorted(tally.durations_s)
+def summarize(counts: SoakCounts, duration_s: float) -> str:
+    """Return throughput, latency and errors as one line."""
+    durations_s = sorted(counts.durations_s)
     p99_ms = durations_s[int(len(durations_s) * 0.99)] * 1000 if durations_s else 0.0
     return (
-        f"{tally.transactions} transactions in {duration_s:.1f} s ({tally.transactions / duration_s:.0f}/s, "
-        f"p99 {p99_ms:.0f} ms), {tally.rolled_back} more rolled back, {tally.rejected} statements rejected; "
-        f"{tally.killed} connections killed"
+        f"{counts.transactions} transactions in {duration_s:.1f} s "
+        f"({counts.transactions / duration_s:.0f}/s, p99 {p99_ms:.0f} ms), "
+        f"{counts.rolled_back} more rolled back, {counts.rejected} statements rejected; "
+        f"{counts.killed} connections killed"
     )
 
 
 def main() -> None:
-    """Run the soak test; see the module's docstring."""
+    """Run the soak test."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--transactions", type=int, default=100_000)
     parser.add_argument("--sessions", type=int, default=300)
-    parser.add_argument("--connections", type=int, default=10, help="To each endpoint.")
+    parser.add_argument("--connections", type=int, default=10, help="connections to each endpoint")
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as directory:
@@ -384,7 +385,7 @@
         )
     print(summary)
     for violation in violations[:MAX_PRINTED_VIOLATIONS]:
-        print(f"WRONG: {violation}")
+        print(f"violation: {violation}")
     sys.exit(1 if violations else 0)
 
 
