--- a/benchmarks/raft.py
+++ b/benchmarks/raft.py
@@ -1,7 +1,7 @@
-"""Proposals a second, commit latency, recovery and fan-out of the configuration, beside pysyncobj.
+"""Measures proposal rate, commit latency, recovery and fan-out of a configuration cluster, beside pysyncobj.
 
-Each instance is a process of its own on loopback, with every write synced to disk. pysyncobj runs with its
-journal on; it flushes without an fsync, so the comparison is kind to it.
+Each instance is a process of its own on loopback, and syncs every write to disk. pysyncobj runs with its
+journal enabled, which it flushes without fsync, so that the comparison is in its favour.
 
     .venv/bin/python benchmarks/raft.py [--seconds 4] [--in-flight 16]
 """
@@ -46,7 +46,7 @@
 [instance]
 name {name}
 cluster bench
-directory {folder}
+directory {directory}
 key cluster.key
 tick 20ms
 [cluster]
@@ -56,30 +56,32 @@
 """
 
 
-def free_ports(count: int) -> list[int]:
-    holders = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [h.getsockname()[1] for h in holders]
-    for h in holders:
-        h.close()
+def find_free_ports(count: int) -> list[int]:
+    servers = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [server.getsockname()[1] for server in servers]
+    for server in servers:
+        server.close()
     return ports
 
 
 @contextlib.contextmanager
-def cluster(count: int, folder: Path) -> Iterator[list[tuple[str, int]]]:
-    folder.mkdir()
-    (folder / "cluster.key").write_bytes(os.urandom(16).hex().encode())
-    ports = free_ports(count)
-    names = [f"c{n}@127.0.0.1:{p}" for n, p in enumerate(ports)]
+def run_cluster(count: int, directory: Path) -> Iterator[list[tuple[str, int]]]:
+    directory.mkdir()
+    (directory / "cluster.key").write_bytes(os.urandom(16).hex().encode())
+    ports = find_free_ports(count)
+    names = [f"c{n}@127.0.0.1:{port}" for n, port in enumerate(ports)]
     processes = []
     for n, name in enumerate(names):
-        path = folder / f"c{n}.conf"
+        path = directory / f"c{n}.conf"
         path.write_text(
-            SETTINGS.format(name=name, folder=f"d{n}", members="\n".join(f"member {m}" for m in names))
+            SETTINGS.format(
+                name=name, directory=f"d{n}", members="\n".join(f"member {member}" for member in names)
+            )
         )
         command = [sys.executable, "-m", "juniperreel.cli.main", "configd", str(path), "--create"]
         processes.append(subprocess.Popen(command))
     try:
-        yield [("127.0.0.1", p) for p in ports]
+        yield [("127.0.0.1", port) for port in ports]
     finally:
         for process in processes:
             process.send_signal(signal.SIGKILL)
@@ -107,38 +109,48 @@
         async with trio.open_nursery() as clients:
             for n in range(in_flight):
                 clients.start_soon(propose_repeatedly, f"b{n}")
-        took = time.perf_counter() - start
+        duration = time.perf_counter() - start
         nursery.cancel_scope.cancel()
-    return len(times) / took, times
+    return len(times) / duration, times
 
 
-PYSYNC = """
+PYSYNCOBJ_NODE = """
 import sys, time
 from pysyncobj import SyncObj, SyncObjConf
 from pysyncobj.batteries import ReplDict
-me, journal, *others = sys.argv[1:]
-d = ReplDict()
-s = SyncObj(me, others, consumers=[d], conf=SyncObjConf(journalFile=journal, dynamicMembershipChange=False))
+address, journal, *peers = sys.argv[1:]
+values = ReplDict()
+conf = SyncObjConf(journalFile=journal, dynamicMembershipChange=False)
+node = SyncObj(address, peers, consumers=[values], conf=conf)
 while True:
     time.sleep(1)
 """
 
 
-def measure_pysyncobj(count: int, folder: Path, seconds: float, in_flight: int) -> tuple[float, list[float]]:
+def measure_pysyncobj(
+    count: int, directory: Path, seconds: float, in_flight: int
+) -> tuple[float, list[float]]:
     from pysyncobj import SyncObj, SyncObjConf
     from pysyncobj.batteries import ReplDict
 
-    folder.mkdir()
-    places = [f"127.0.0.1:{p}" for p in free_ports(count)]
-    others = [
+    directory.mkdir()
+    addresses = [f"127.0.0.1:{port}" for port in find_free_ports(count)]
+    processes = [
         subprocess.Popen(
-            [sys.executable, "-c", PYSYNC, p, str(folder / f"j{n}"), *(q for q in places if q != p)]
+            [
+                sys.executable,
+                "-c",
+                PYSYNCOBJ_NODE,
+                address,
+                str(directory / f"j{n}"),
+                *(peer for peer in addresses if peer != address),
+            ]
         )
-        for n, p in enumerate(places[1:])
+        for n, address in enumerate(addresses[1:])
     ]
     values = ReplDict()
-    conf = SyncObjConf(journalFile=str(folder / "me"))
-    node = SyncObj(places[0], places[1:], consumers=[values], conf=conf)
+    conf = SyncObjConf(journalFile=str(directory / "me"))
+    node = SyncObj(addresses[0], addresses[1:], consumers=[values], conf=conf)
     times: list[float] = []
     lock = threading.Lock()
     try:
@@ -157,27 +169,27 @@
 
         start = time.perf_counter()
         threads = [threading.Thread(target=set_repeatedly, args=(n,)) for n in range(in_flight)]
-        for t in threads:
-            t.start()
-        for t in threads:
-            t.join()
-        took = time.perf_counter() - start
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
+        duration = time.perf_counter() - start
     finally:
         node.destroy()
-        for process in others:
+        for process in processes:
             process.kill()
             process.wait()
-    return len(times) / took, times
+    return len(times) / duration, times
 
 
 def print_rate(name: str, rate: float, times: list[float]) -> None:
-    """`rate` is proposals a second, `times` are their latencies in seconds."""
+    """`rate` is in proposals per second, `times` are their latencies in seconds."""
     p50, p99 = np.percentile(np.array(times) * 1000, [50, 99])
-    print(f"{name}: {rate:6.0f} proposals a second, p50 {p50:6.1f} ms, p99 {p99:6.1f} ms", flush=True)
+    print(f"{name}: {rate:6.0f} proposals per second, p50 {p50:6.1f} ms, p99 {p99:6.1f} ms", flush=True)
 
 
 class SingleNode:
-    """A cluster of one without a network."""
+    """A cluster of one instance, without a network."""
 
     def __init__(self, path: Path) -> None:
         self.storage = Storage.create(path, "bench", "a", Membership(frozenset({"a"})))
@@ -186,9 +198,9 @@
         self.state_machine = ConfigurationStateMachine()
         while not self.core.is_leader:
             self.core.tick()
-        self.settle()
+        self.process_ready()
 
-    def settle(self) -> None:
+    def process_ready(self) -> None:
         while self.core.has_ready():
             ready = self.core.take_ready()
             self.storage.write(ready.persist)
@@ -201,16 +213,16 @@
         for number in range(1, count + 1):
             self.core.propose(encode_command(Command("c", number, [SetLimit("attempts", number)])))
             if number % PROPOSALS_PER_WRITE == 0:
-                self.settle()
-        self.settle()
+                self.process_ready()
+        self.process_ready()
 
     def compact(self) -> None:
         self.core.compact(self.core.applied_index, self.state_machine.snapshot())
-        self.settle()
+        self.process_ready()
 
 
 def recover(path: Path) -> ConfigurationStateMachine:
-    """Open a directory and apply its log."""
+    """Open a directory and apply the log in it."""
     storage = Storage.open(path, "bench", "a")
     recovered = storage.recover()
     state_machine = ConfigurationStateMachine()
@@ -222,9 +234,9 @@
     return state_machine
 
 
-def measure_recovery(folder: Path, entries: int, with_snapshot: bool) -> None:
-    """Opening a directory and applying its log, with or without a snapshot at its end."""
-    path = folder / f"r{entries}{with_snapshot}"
+def measure_recovery(directory: Path, entries: int, with_snapshot: bool) -> None:
+    """Measure the time to open a directory and apply its log, with or without a snapshot at the end."""
+    path = directory / f"r{entries}{with_snapshot}"
     node = SingleNode(path)
     node.write_entries(entries)
     if with_snapshot:
@@ -234,24 +246,24 @@
     state_machine = recover(path)
     elapsed_ms = (time.perf_counter() - start) * 1000
     assert state_machine.current.limits["attempts"] == entries
-    kind = "with a snapshot" if with_snapshot else "without"
+    kind = "with a snapshot" if with_snapshot else "without a snapshot"
     print(f"recovery of {entries} entries {kind}: {elapsed_ms:.0f} ms", flush=True)
 
 
-async def fan_out(addresses: list[tuple[str, int]], watchers: int) -> None:
+async def measure_fan_out(addresses: list[tuple[str, int]], watchers: int) -> None:
     arrived: dict[int, list[float]] = {}
     async with trio.open_nursery() as nursery:
         client = ConfigurationClient(TcpNetwork(), Clock(), random.Random(1), addresses)
         await nursery.start(client.run)
         await client.propose(Command("f", 1, [SetLimit("attempts", 1)]), attempts=200)
 
-        def seen(c: model.Configuration) -> None:
-            arrived.setdefault(c.version, []).append(time.perf_counter())
+        def record_arrival(configuration: model.Configuration) -> None:
+            arrived.setdefault(configuration.version, []).append(time.perf_counter())
 
         for n in range(watchers):
-            each = ConfigurationClient(TcpNetwork(), Clock(), random.Random(n), addresses)
-            await nursery.start(each.run)
-            nursery.start_soon(each.watch, f"w{n}", model.EMPTY, seen)
+            watcher = ConfigurationClient(TcpNetwork(), Clock(), random.Random(n), addresses)
+            await nursery.start(watcher.run)
+            nursery.start_soon(watcher.watch, f"w{n}", model.EMPTY, record_arrival)
         while len(arrived.get(1, [])) < watchers:
             await trio.sleep(0.05)
         for turn in range(5):
@@ -259,10 +271,10 @@
             outcome = await client.propose(Command("f", 2 + turn, [SetLimit("attempts", 2 + turn)]))
             while len(arrived.get(outcome.version, [])) < watchers:
                 await trio.sleep(0.005)
-            took = np.array(sorted(arrived[outcome.version])) - start
+            delays = np.array(sorted(arrived[outcome.version])) - start
             print(
-                f"{watchers} watchers, change {turn + 1}: p50 {np.percentile(took, 50) * 1000:.0f} ms, "
-                f"last {took[-1] * 1000:.0f} ms after it was proposed",
+                f"{watchers} watchers, change {turn + 1}: p50 {np.percentile(delays, 50) * 1000:.0f} ms, "
+                f"last {delays[-1] * 1000:.0f} ms after the proposal",
                 flush=True,
             )
         nursery.cancel_scope.cancel()
@@ -273,24 +285,25 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--in-flight", type=int, default=16)
     options: Any = parser.parse_args()
-    folder = Path(tempfile.mkdtemp(dir=Path(__file__).parent.parent / ".venv"))  # a real disk, not memory
+    # The default directory for temporary files may be in memory, where syncing costs nothing.
+    directory = Path(tempfile.mkdtemp(dir=Path(__file__).parent.parent / ".venv"))
     try:
         for count in (1, 3, 5):
-            with cluster(count, folder / f"juniperreel{count}") as addresses:
+            with run_cluster(count, directory / f"juniperreel{count}") as addresses:
                 rate, times = trio.run(measure_juniperreel, addresses, options.seconds, options.in_flight)
             print_rate(f"{count} instances, juniperreel", rate, times)
             pysyncobj_rate, pysyncobj_times = measure_pysyncobj(
-                count, folder / f"pysyncobj{count}", options.seconds, options.in_flight
+                count, directory / f"pysyncobj{count}", options.seconds, options.in_flight
             )
             print_rate(f"{count} instances, pysyncobj  ", pysyncobj_rate, pysyncobj_times)
-            print(f"{count} instances: ratio {rate / pysyncobj_rate:.2f} in proposals a second", flush=True)
+            print(f"{count} instances: ratio {rate / pysyncobj_rate:.2f} in proposals per second", flush=True)
         for entries in RECOVERY_ENTRIES:
             for with_snapshot in (False, True):
-                measure_recovery(folder, entries, with_snapshot)
-        with cluster(3, folder / "fan") as addresses:
-            trio.run(fan_out, addresses, WATCHERS)
+                measure_recovery(directory, entries, with_snapshot)
+        with run_cluster(3, directory / "fan") as addresses:
+            trio.run(measure_fan_out, addresses, WATCHERS)
     finally:
-        shutil.rmtree(folder)
+        shutil.rmtree(directory)
 
 
 if __name__ == "__main__":
