--- a/benchmarks/edge_throughput.py
+++ b/benchmarks/edge_throughput.py
@@ -1,12 +1,13 @@
-"""Requests a second and latency of one edge in front of one fast member, next to a plain forwarding proxy.
+"""Measures requests per second and latency of an edge with one fake endpoint, beside a forwarding proxy.
 
-The proxy is written with grpc.aio and decides nothing: it turns each request into a member's and back. The
-same client asks the two turn by turn; what counts is the ratio within one run, since machines differ.
+The proxy is written with grpc.aio and makes no decisions: it translates each request into an endpoint's, and
+the response back. The same client sends requests to the two in turn; only the ratio within one run is
+meaningful, since machines differ.
 
     .venv/bin/python benchmarks/edge_throughput.py [--turns 4] [--seconds 3] [--in-flight 32] [--profile FILE]
 
-With --workers N an edge of N workers is asked beside an edge of one, by several clients, in front of several
-members; the CPU of each side is told, since all of them share one machine.
+With --workers N, an edge of N workers is compared with an edge of one worker, with several clients and
+several endpoints; the CPU use of each side is printed, since all of them share one machine.
 """
 
 from __future__ import annotations
@@ -33,10 +34,10 @@
 from juniperreel.proto.member.v1 import member_pb2
 from juniperreel.proto.records.v1 import records_pb2
 
-MEMBER = "/juniperreel.member.v1.Member/Execute"
-EXECUTE = "/juniperreel.v1.Records/Execute"
+MEMBER_EXECUTE = "/juniperreel.member.v1.Member/Execute"
+RECORDS_EXECUTE = "/juniperreel.v1.Records/Execute"
 
-EDGE = """
+EDGE_SETTINGS = """
 [edge]
 name bench
 listen 127.0.0.1:{port}
@@ -73,66 +74,73 @@
 """
 
 
-def standing(primary: bool) -> member_pb2.Standing:
+def make_standing(primary: bool) -> member_pb2.Standing:
     role = member_pb2.ROLE_PRIMARY if primary else member_pb2.ROLE_REPLICA
-    made = member_pb2.Standing(role=role, position=time.time_ns() // 1000)
-    made.epochs.add(epoch=1, start=0)
-    return made
+    standing = member_pb2.Standing(role=role, position=time.time_ns() // 1000)
+    standing.epochs.add(epoch=1, start=0)
+    return standing
 
 
-class FastMember(grpc.GenericRpcHandler):
-    """Answers at once from nothing; is the host list as well, naming itself as the one replica."""
+class FakeEndpoint(grpc.GenericRpcHandler):
+    """An endpoint that answers immediately and stores nothing.
 
-    def __init__(self, others: list[int]) -> None:
+    It also serves the endpoint list, which contains it and the endpoints at `other_ports`, all as replicas.
+    """
+
+    def __init__(self, other_ports: list[int]) -> None:
         self.port = 0
-        self.others = others  # ports of members that this one lists as well
+        self.other_ports = other_ports
 
     def service(self, details: Any) -> Any:
         return {
-            MEMBER: grpc.unary_unary_rpc_method_handler(self.execute),
+            MEMBER_EXECUTE: grpc.unary_unary_rpc_method_handler(self.execute),
             "/juniperreel.member.v1.Member/Report": grpc.unary_unary_rpc_method_handler(self.report),
             "/juniperreel.hosts.v1.Hosts/Watch": grpc.unary_stream_rpc_method_handler(self.watch),
         }.get(details.method)
 
     async def execute(self, request: bytes, context: Any) -> bytes:
-        ask = member_pb2.ExecuteRequest.FromString(request)
+        endpoint_request = member_pb2.ExecuteRequest.FromString(request)
         result = values_pb2.ResultSet(columns=["id"])
-        result.rows.add().values.add(text=ask.request)
-        return member_pb2.ExecuteResponse(result=result, standing=standing(False)).SerializeToString()
+        result.rows.add().values.add(text=endpoint_request.request)
+        return member_pb2.ExecuteResponse(result=result, standing=make_standing(False)).SerializeToString()
 
     async def report(self, request: bytes, context: Any) -> bytes:
-        return member_pb2.ReportResponse(standing=standing(False)).SerializeToString()
+        return member_pb2.ReportResponse(standing=make_standing(False)).SerializeToString()
 
     async def watch(self, request: bytes, context: Any) -> Any:
         up = hosts_pb2.READINESS_UP
         hosts = [
             hosts_pb2.Host(id=f"fast{n}", address="127.0.0.1", port=port, readiness=up, size=1.0)
-            for n, port in enumerate([self.port, *self.others])
+            for n, port in enumerate([self.port, *self.other_ports])
         ]
         yield hosts_pb2.WatchResponse(full=True, hosts=hosts).SerializeToString()
         await asyncio.sleep(3600)
 
 
-class Proxy(grpc.GenericRpcHandler):
-    """Forwards; no more."""
+class ForwardingProxy(grpc.GenericRpcHandler):
+    """Forwards each request to one endpoint."""
 
-    def __init__(self, member_port: int) -> None:
-        self.member_port = member_port
-        self.call: Any = None  # made in the server's own loop
+    def __init__(self, endpoint_port: int) -> None:
+        self.endpoint_port = endpoint_port
+        self.call: Any = None  # created on the first request, in the server's event loop
 
     def service(self, details: Any) -> Any:
-        return grpc.unary_unary_rpc_method_handler(self.execute) if details.method == EXECUTE else None
+        return (
+            grpc.unary_unary_rpc_method_handler(self.execute) if details.method == RECORDS_EXECUTE else None
+        )
 
     async def execute(self, request: bytes, context: Any) -> bytes:
-        ask = records_pb2.ExecuteRequest.FromString(request)
-        out = member_pb2.ExecuteRequest(request="x", statement=ask.statement, parameters=ask.parameters)
+        client_request = records_pb2.ExecuteRequest.FromString(request)
+        endpoint_request = member_pb2.ExecuteRequest(
+            request="x", statement=client_request.statement, parameters=client_request.parameters
+        )
         if self.call is None:
-            channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.member_port}")
-            self.call = channel.unary_unary(MEMBER)
-        reply = await self.call(out.SerializeToString(), timeout=5)
-        answer = member_pb2.ExecuteResponse.FromString(reply)
+            channel = grpc.aio.insecure_channel(f"127.0.0.1:{self.endpoint_port}")
+            self.call = channel.unary_unary(MEMBER_EXECUTE)
+        reply = await self.call(endpoint_request.SerializeToString(), timeout=5)
+        response = member_pb2.ExecuteResponse.FromString(reply)
         return records_pb2.ExecuteResponse(
-            result=answer.result, member="fast", attempts=1
+            result=response.result, member="fast", attempts=1
         ).SerializeToString()
 
 
@@ -146,11 +154,15 @@
     await server.wait_for_termination()
 
 
-async def ask(port: int, seconds: float, in_flight: int, channels: int = 1) -> tuple[float, np.ndarray]:
-    """Requests a second, and each one's time in milliseconds."""
-    if channels > 1:  # a connection is one worker's: each worker needs some
-        found = await asyncio.gather(*(ask(port, seconds, in_flight // channels) for _ in range(channels)))
-        return sum(rate for rate, _ in found), np.concatenate([took for _, took in found])
+async def measure_requests(
+    port: int, seconds: float, in_flight: int, channels: int = 1
+) -> tuple[float, np.ndarray]:
+    """Return requests per second and the latency of each in milliseconds."""
+    if channels > 1:  # a connection is served by one worker, so several are needed to reach all workers
+        results = await asyncio.gather(
+            *(measure_requests(port, seconds, in_flight // channels) for _ in range(channels))
+        )
+        return sum(rate for rate, _ in results), np.concatenate([latencies_ms for _, latencies_ms in results])
     times: list[float] = []
     request = records_pb2.ExecuteRequest(statement=b"select id from runs where runner = ?")
     setattr(request, "class", "read")
@@ -158,38 +170,38 @@
     data = request.SerializeToString()
     options = (("grpc.use_local_subchannel_pool", 1),)
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options) as channel:
-        call = channel.unary_unary(EXECUTE)
+        call = channel.unary_unary(RECORDS_EXECUTE)
         await call(data, timeout=5, wait_for_ready=True)
         end = time.perf_counter() + seconds
 
-        async def one() -> None:
+        async def send_repeatedly() -> None:
             while (start := time.perf_counter()) < end:
                 await call(data, timeout=5)
                 times.append(time.perf_counter() - start)
 
         start = time.perf_counter()
-        await asyncio.gather(*(one() for _ in range(in_flight)))
-        took = time.perf_counter() - start
-    return len(times) / took, np.array(times) * 1000
+        await asyncio.gather(*(send_repeatedly() for _ in range(in_flight)))
+        duration = time.perf_counter() - start
+    return len(times) / duration, np.array(times) * 1000
 
 
-def start(*words: str, **options: Any) -> tuple[subprocess.Popen[str], int]:
+def start_process(*arguments: str, **options: Any) -> tuple[subprocess.Popen[str], int]:
     process = subprocess.Popen(
-        [sys.executable, __file__, *words], stdout=subprocess.PIPE, text=True, **options
+        [sys.executable, __file__, *arguments], stdout=subprocess.PIPE, text=True, **options
     )
     assert process.stdout is not None
     return process, int(process.stdout.readline())
 
 
 def start_edge(
-    folder: Path, hosts: int, profile: str | None, workers: int = 1
+    directory: Path, hosts: int, profile: str | None, workers: int = 1
 ) -> tuple[subprocess.Popen[str], int]:
-    (folder / "token.key").write_bytes(os.urandom(16).hex().encode())
-    (folder / "edge.conf").write_text(
-        EDGE.format(port=0, hosts=hosts, workers=workers).replace("level warning", "level info"),
+    (directory / "token.key").write_bytes(os.urandom(16).hex().encode())
+    (directory / "edge.conf").write_text(
+        EDGE_SETTINGS.format(port=0, hosts=hosts, workers=workers).replace("level warning", "level info"),
         encoding="utf-8",
     )
-    command = [sys.executable, "-m", "juniperreel.cli.main", "edge", str(folder / "edge.conf")]
+    command = [sys.executable, "-m", "juniperreel.cli.main", "edge", str(directory / "edge.conf")]
     if profile:
         command[1:1] = ["-m", "cProfile", "-o", profile]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
@@ -200,97 +212,105 @@
     raise SystemExit("the edge did not start")
 
 
-def measure(turns: int, seconds: float, in_flight: int, profile: str | None) -> None:
+def compare_with_proxy(turns: int, seconds: float, in_flight: int, profile: str | None) -> None:
     processes = []
     try:
-        member, member_port = start("member")
-        processes.append(member)
-        proxy, proxy_port = start("proxy", str(member_port))
+        endpoint, endpoint_port = start_process("endpoint")
+        processes.append(endpoint)
+        proxy, proxy_port = start_process("proxy", str(endpoint_port))
         processes.append(proxy)
-        with tempfile.TemporaryDirectory() as folder:
-            edge, edge_port = start_edge(Path(folder), member_port, profile)
+        with tempfile.TemporaryDirectory() as directory:
+            edge, edge_port = start_edge(Path(directory), endpoint_port, profile)
             processes.append(edge)
             time.sleep(1)
-            rates: dict[str, list[float]] = {"edge": [], "proxy": [], "member": []}
+            rates: dict[str, list[float]] = {"edge": [], "proxy": [], "endpoint": []}
             times: dict[str, list[np.ndarray]] = {"edge": [], "proxy": []}
             for turn in range(turns):
                 for name, port in (("edge", edge_port), ("proxy", proxy_port)):
-                    rate, took = asyncio.run(ask(port, seconds, in_flight))
+                    rate, latencies_ms = asyncio.run(measure_requests(port, seconds, in_flight))
                     rates[name].append(rate)
-                    times[name].append(took)
-                    p50, p99 = np.percentile(took, [50, 99])
+                    times[name].append(latencies_ms)
+                    p50, p99 = np.percentile(latencies_ms, [50, 99])
                     print(f"turn {turn + 1} {name:>6}: {rate:7.0f}/s, p50 {p50:6.2f} ms, p99 {p99:6.2f} ms")
         for name in times:
             p50, p99 = np.percentile(np.concatenate(times[name]), [50, 99])
             rate = float(np.median(rates[name]))
-            print(f"{name:>6}: median {rate:.0f} a second, p50 {p50:.2f} ms, p99 {p99:.2f} ms")
-        ratios = [e / p for e, p in zip(rates["edge"], rates["proxy"], strict=True)]
-        print(f"ratio edge to proxy: {np.median(ratios):.2f} (turns {', '.join(f'{r:.2f}' for r in ratios)})")
+            print(f"{name:>6}: median {rate:.0f}/s, p50 {p50:.2f} ms, p99 {p99:.2f} ms")
+        ratios = [
+            edge_rate / proxy_rate
+            for edge_rate, proxy_rate in zip(rates["edge"], rates["proxy"], strict=True)
+        ]
+        print(
+            f"ratio of edge to proxy: {np.median(ratios):.2f} "
+            f"(turns {', '.join(f'{ratio:.2f}' for ratio in ratios)})"
+        )
     finally:
         for process in processes:
             process.send_signal(signal.SIGINT if profile else signal.SIGTERM)
             process.wait(10)
 
 
-async def client(port: int, seconds: float, in_flight: int) -> None:
-    """One of several: its rate, as a line."""
-    rate, took = await ask(port, seconds, in_flight, channels=4)
-    print(rate, np.percentile(took, 50), time.process_time(), flush=True)
+async def run_client(port: int, seconds: float, in_flight: int) -> None:
+    """Run one of several client processes: prints its rate, its median latency and its CPU time."""
+    rate, latencies_ms = await measure_requests(port, seconds, in_flight, channels=4)
+    print(rate, np.percentile(latencies_ms, 50), time.process_time(), flush=True)
 
 
-def ticks(process: subprocess.Popen[str]) -> float:
-    """CPU seconds of a process and of the children it has."""
+def cpu_seconds(process: subprocess.Popen[str]) -> float:
+    """Return the CPU seconds used by a process and its children."""
     total = 0.0
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
-            words = path.read_text().rpartition(")")[2].split()
+            fields = path.read_text().rpartition(")")[2].split()
         except OSError:
             continue
-        if process.pid in (int(path.parent.name), int(words[1])):
-            total += (int(words[11]) + int(words[12])) / 100
+        if process.pid in (int(path.parent.name), int(fields[1])):
+            total += (int(fields[11]) + int(fields[12])) / 100
     return total
 
 
-def measure_workers(
-    turns: int, seconds: float, in_flight: int, workers: int, members: int, clients: int
+def compare_worker_counts(
+    turns: int, seconds: float, in_flight: int, workers: int, endpoints: int, clients: int
 ) -> None:
     processes = []
     try:
         ports: list[int] = []
-        for _ in range(members):
-            process, port = start("member", *map(str, ports))
+        for _ in range(endpoints):
+            process, port = start_process("endpoint", *map(str, ports))
             processes.append(process)
             ports.append(port)
         rates: dict[int, list[float]] = {1: [], workers: []}
-        with tempfile.TemporaryDirectory() as folder:
+        with tempfile.TemporaryDirectory() as directory:
             edges = {}
             for count in rates:
-                place = Path(folder) / str(count)
-                place.mkdir()
-                edges[count] = start_edge(place, ports[-1], None, count)
+                edge_directory = Path(directory) / str(count)
+                edge_directory.mkdir()
+                edges[count] = start_edge(edge_directory, ports[-1], None, count)
                 processes.append(edges[count][0])
             time.sleep(2)
             for turn in range(turns):
                 for count, (edge, port) in edges.items():
-                    sides = (edge, *processes[:members])
-                    before = [ticks(p) for p in sides]
-                    words = [sys.executable, __file__, "client", str(port), str(seconds), str(in_flight)]
-                    asked = [
-                        subprocess.Popen(words, stdout=subprocess.PIPE, text=True) for _ in range(clients)
+                    measured = (edge, *processes[:endpoints])
+                    before = [cpu_seconds(child) for child in measured]
+                    command = [sys.executable, __file__, "client", str(port), str(seconds), str(in_flight)]
+                    client_processes = [
+                        subprocess.Popen(command, stdout=subprocess.PIPE, text=True) for _ in range(clients)
+                    ]
+                    lines = [client.communicate()[0].split() for client in client_processes]
+                    cpu = [
+                        cpu_seconds(child) - earlier for child, earlier in zip(measured, before, strict=True)
                     ]
-                    lines = [p.communicate()[0].split() for p in asked]
-                    spent = [ticks(p) - b for p, b in zip(sides, before, strict=True)]
                     rate = sum(float(line[0]) for line in lines)
                     rates[count].append(rate)
                     p50 = np.median([float(line[1]) for line in lines])
-                    asking = sum(float(line[2]) for line in lines) / seconds
+                    client_cpu = sum(float(line[2]) for line in lines) / seconds
                     print(
                         f"turn {turn + 1}, {count} workers: {rate:6.0f}/s, p50 {p50:.1f} ms; cores: edge "
-                        f"{spent[0] / seconds:.1f}, members {sum(spent[1:]) / seconds:.1f} of {members}, "
-                        f"clients {asking:.1f} of {clients}"
+                        f"{cpu[0] / seconds:.1f}, endpoints {sum(cpu[1:]) / seconds:.1f} of {endpoints}, "
+                        f"clients {client_cpu:.1f} of {clients}"
                     )
         ratio = float(np.median(rates[workers]) / np.median(rates[1]))
-        print(f"ratio of {workers} workers to one: {ratio:.2f}")
+        print(f"ratio of {workers} workers to one worker: {ratio:.2f}")
     finally:
         for process in processes:
             process.terminate()
@@ -298,12 +318,12 @@
 
 
 def main() -> None:
-    if sys.argv[1:2] == ["member"]:
-        asyncio.run(serve(FastMember([int(port) for port in sys.argv[2:]])))
+    if sys.argv[1:2] == ["endpoint"]:
+        asyncio.run(serve(FakeEndpoint([int(port) for port in sys.argv[2:]])))
     elif sys.argv[1:2] == ["client"]:
-        asyncio.run(client(int(sys.argv[2]), float(sys.argv[3]), int(sys.argv[4])))
+        asyncio.run(run_client(int(sys.argv[2]), float(sys.argv[3]), int(sys.argv[4])))
     elif sys.argv[1:2] == ["proxy"]:
-        asyncio.run(serve(Proxy(int(sys.argv[2]))))
+        asyncio.run(serve(ForwardingProxy(int(sys.argv[2]))))
     else:
         parser = argparse.ArgumentParser(description=__doc__)
         parser.add_argument("--turns", type=int, default=4)
@@ -313,12 +333,12 @@
         parser.add_argument("--workers", type=int, default=1)
         parser.add_argument("--members", type=int, default=3)
         parser.add_argument("--clients", type=int, default=3)
-        words = parser.parse_args()
-        if words.workers > 1:
-            sides = (words.workers, words.members, words.clients)
-            measure_workers(words.turns, words.seconds, words.in_flight, *sides)
+        arguments = parser.parse_args()
+        if arguments.workers > 1:
+            counts = (arguments.workers, arguments.members, arguments.clients)
+            compare_worker_counts(arguments.turns, arguments.seconds, arguments.in_flight, *counts)
             return
-        measure(words.turns, words.seconds, words.in_flight, words.profile)
+        compare_with_proxy(arguments.turns, arguments.seconds, arguments.in_flight, arguments.profile)
 
 
 if __name__ == "__main__":
