--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -26,7 +26,7 @@
 SERVERS = 6
 CORES = 2
 WORK_US = 45_000
-CAPACITY = SERVERS * CORES / WORK_US * SECOND_US  # requests a second
+CAPACITY = SERVERS * CORES / WORK_US * SECOND_US  # requests per second
 DURATION_S = 60
 FAILURE_S = 20
 RECOVERY_S = 40
