--- a/fuzz/mysql_target.py
+++ b/fuzz/mysql_target.py
@@ -19,14 +19,16 @@
 
 with atheris.instrument_imports():
     from juniperreel.frontends.mysql.classification import statement_digest
-    from juniperreel.frontends.mysql.prepared import PreparedStatementError, PreparedStatements
+    from juniperreel.frontends.mysql.errors import PreparedStatementError
+    from juniperreel.frontends.mysql.prepared import PreparedStatements
     from juniperreel.mysql import columns, parameters, rows
     from juniperreel.mysql.auth import SHA2, Credential, auth_response
     from juniperreel.mysql.client import ClientSession
     from juniperreel.mysql.packets import Cursor, ProtocolError, encode_packets
     from juniperreel.mysql.replies import decode_err, decode_ok
     from juniperreel.mysql.server import Command, ServerSession, State
-    from juniperreel.pool.gtid import GtidSet, InvalidGtidError
+    from juniperreel.pool.errors import InvalidGtidError
+    from juniperreel.pool.gtid import GtidSet
     from juniperreel.statements import LexerMode, StatementKind, classify_statement
     from juniperreel.statements.lexer import AmbiguousTextError, TokenType, tokenize
     from juniperreel.statements.plain_reads import WRITE_KEYWORDS
