--- a/juniperreel/platform/__init__.py
+++ b/juniperreel/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The driver on the operators' platform: configuration, discovery, clients, endpoints, signals, descriptors.
+"""The platform's driver process: configuration, discovery, client and endpoint connections, and signals.
 
-Decides nothing on routing: that is the router's, fed by `routing.loop`.
+Routing decisions are made by the router, which `routing.loop` feeds with events.
 """
--- a/juniperreel/platform/__main__.py
+++ b/juniperreel/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m juniperreel.platform`: one driver in the foreground, as the platform starts it."""
+"""`python -m juniperreel.platform`: runs one driver in the foreground, as the platform starts it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from juniperreel.platform.signal_queue import SignalQueue
 
-# A signal that arrives while modules are still loading would end the process: it is noted, and handled later.
+# Installed before other modules load: a signal that arrives meanwhile would otherwise terminate the process.
 SIGNALS = SignalQueue()
 SIGNALS.install()
 
--- a/juniperreel/platform/arrival_times.py
+++ b/juniperreel/platform/arrival_times.py
@@ -1,37 +1,37 @@
-"""When the bytes of a stream arrived, for commands that are parsed later. Free of I/O."""
+"""Tracks when the bytes of a stream arrived, for commands that are parsed later. Performs no I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-RESOLUTION_US = 1_000  # bytes that arrive within it share a mark, so that single bytes do not fill the memory
+RESOLUTION_US = 1_000  # bytes that arrive within it share a mark, which bounds memory for byte-wise input
 
 
 class ArrivalMark(NamedTuple):
-    """All bytes before `end`, and behind the mark before, had arrived at `at_us`."""
+    """The bytes from the previous mark's `end` up to this one's had arrived by `at_us`."""
 
     end: int
     at_us: int
 
 
 class ArrivalTimes:
-    """The arrival times of bytes that are not taken yet."""
+    """Arrival times of the bytes that have not been taken yet."""
 
     def __init__(self) -> None:
-        """Start a stream."""
+        """Start with an empty stream."""
         self._received = 0
         self._marks: deque[ArrivalMark] = deque()
 
     def receive(self, count: int, at_us: int) -> None:
-        """Note that `count` bytes more have arrived, at the earliest at `at_us`."""
+        """Record that `count` more bytes arrived, at `at_us` at the earliest."""
         self._received += count
         if self._marks and at_us - self._marks[-1].at_us < RESOLUTION_US:
             at_us = min(self._marks.pop().at_us, at_us)
         self._marks.append(ArrivalMark(self._received, at_us))
 
     def take(self, unread: int) -> int:
-        """Return when the last byte before the `unread` ones arrived, and forget what came before it."""
+        """Return when the last byte before the final `unread` ones arrived, and drop earlier marks."""
         position = self._received - unread
         while self._marks[0].end < position:
             self._marks.popleft()
--- a/juniperreel/platform/attempt.py
+++ b/juniperreel/platform/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: everything that is asked before its query is written, in one place."""
+"""One attempt of a request, with all checks that precede writing its query."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from juniperreel.platform.open_requests import OpenRequest
 from juniperreel.postgres.request_format import with_timeout
 
-# An endpoint may be told at most 0.15 s more than the client has left, and the process may be held up for as
-# long between the clock and the write: what the write itself takes comes on top.
+# The timeout sent to an endpoint may exceed the client's remaining time by at most 0.15 s, and the process
+# may be suspended for that long between reading the clock and writing. The margin covers the write itself.
 STATED_MARGIN_US = 10_000
 
 
 class AttemptHost(Protocol):
-    """What an attempt needs of its driver."""
+    """Driver operations used by attempts."""
 
     def now(self) -> int:
-        """Read the clock."""
+        """Return the current time in microseconds."""
         ...
 
     def confirm_send(self, request_id: str, number: int) -> bool:
-        """Ask the router whether the attempt still fits."""
+        """Ask the router whether the attempt is still valid."""
         ...
 
-    def on_client_found_gone(self, request: OpenRequest) -> None:
-        """Withdraw the requests of a client that has left, though no event says so yet."""
+    def on_client_disconnect_detected(self, request: OpenRequest) -> None:
+        """Withdraw the requests of a client whose disconnect was detected before its event was handled."""
         ...
 
     def on_send_refused(self, attempt: Attempt, reason: SendRefusal) -> None:
-        """A query is not written although a connection was there for it."""
+        """Handle an attempt that is not written although a connection was available."""
         ...
 
     def on_attempt_written(self, attempt: Attempt) -> None:
-        """A query was handed to its connection."""
+        """Handle an attempt whose query was passed to its connection."""
         ...
 
     def on_attempt_done(self, attempt: Attempt, result: ExchangeResult) -> None:
-        """The attempt has ended."""
+        """Handle the end of an attempt."""
         ...
 
 
 class Attempt:
-    """The owner of an attempt's exchange. `until_us` is when its time is up."""
+    """The owner of an attempt's exchange, which times out at `until_us`."""
 
     __slots__ = (
         "_host",
@@ -66,7 +66,7 @@
         started_us: int,
         until_us: int,
     ) -> None:
-        """Describe an attempt that is not written yet."""
+        """Create an attempt that has not been written yet."""
         self._host = host
         self.request_id = request_id
         self.request = request
@@ -74,38 +74,38 @@
         self.endpoint = endpoint
         self.started_us = started_us
         self.until_us = until_us
-        self.stated_us = 0  # how long the endpoint was told that the client waits
+        self.stated_us = 0  # the timeout sent to the endpoint
 
     def may_send(self) -> bool:
-        """Return whether the router, which decided on the attempt a while ago, confirms it."""
+        """Return whether the router confirms the attempt, which it may have decided on some time ago."""
         confirmed = self._host.confirm_send(self.request_id, self.number)
         if not confirmed:
             self._host.on_send_refused(self, SendRefusal.NOT_CONFIRMED)
         return confirmed
 
     def build_query(self) -> bytes:
-        """Return the client's statement with the time that is left of it."""
+        """Return the client's statement with the remaining time as its timeout."""
         remaining_us = min(self.until_us, self.request.deadline_us - STATED_MARGIN_US) - self._host.now()
         remaining_ms = max(remaining_us // 1000, 1)
         self.stated_us = remaining_ms * 1000
-        return with_timeout(self.request.form.text, remaining_ms)
+        return with_timeout(self.request.statement.text, remaining_ms)
 
     def is_awaited(self) -> bool:
-        """Return whether the client still waits, by a look at its connection."""
+        """Return whether the client still waits, checking its connection."""
         command = self.request.command
         if command is None:
             self._host.on_send_refused(self, SendRefusal.ANSWERED)
             return False
-        if command.client.has_left():
+        if command.client.has_disconnected():
             self._host.on_send_refused(self, SendRefusal.CLIENT_LEFT)
-            self._host.on_client_found_gone(self.request)
+            self._host.on_client_disconnect_detected(self.request)
             return False
         return True
 
     def on_written(self) -> None:
-        """Tell the driver."""
+        """Notify the driver."""
         self._host.on_attempt_written(self)
 
     def on_done(self, result: ExchangeResult) -> None:
-        """Tell the driver."""
+        """Notify the driver."""
         self._host.on_attempt_done(self, result)
--- a/juniperreel/platform/client_connection.py
+++ b/juniperreel/platform/client_connection.py
@@ -1,8 +1,7 @@
-"""One client's connection: commands in, answers out, in order.
+"""Server side of one client connection: parses commands and sends their answers in order.
 
-Commands of one connection are executed side by side as far as they don't touch the same key. Malformed input
-is rejected here, with an error or by closing the connection; what a request means and where it goes is not
-known here.
+Commands of one connection run concurrently unless they conflict on the same key. Malformed input is rejected
+here, with an error or by closing the connection; requests are interpreted and routed elsewhere.
 """
 
 from __future__ import annotations
@@ -22,53 +21,51 @@
 if TYPE_CHECKING:
     from juniperreel.platform.client_listener import ClientListener
 
-MAX_OPEN_COMMANDS = 64  # of one connection; the next ones wait unparsed
-MAX_UNPARSED_BYTES = server.QUERY_LIMIT + READ_BYTES  # that wait behind them
-MAX_UNSENT_BYTES = 1 << 20  # of answers, beyond which a client's further commands are not read
-CLOSE_TIMEOUT_US = 300_000  # for a client to end its side after ours; most do so sooner
-CLOSE_UNSENT_TIMEOUT_US = 2_000_000  # the same while an answer is still being sent
+MAX_OPEN_COMMANDS = 64  # per connection; further commands stay unparsed
+MAX_UNPARSED_BYTES = server.QUERY_LIMIT + READ_BYTES  # buffered beyond that before reading is paused
+MAX_UNSENT_BYTES = 1 << 20  # of answers, beyond which no further commands are read
+CLOSE_TIMEOUT_US = 300_000  # for the client to close its side after ours; most do so sooner
+CLOSE_UNSENT_TIMEOUT_US = 2_000_000  # as above, while an answer is still being sent
 WHITESPACE = b" \t\r\n;"
 
 
 class ClientConnection:
-    """The protocol of one client's transport. Owns the commands that it has not answered yet."""
+    """Protocol of a client's transport. Owns the connection's unanswered commands."""
 
     eof_is_disconnect = True
 
     def __init__(
         self, listener: ClientListener, transport: Transport, now_us: int, waiting_since_us: int = 0
     ) -> None:
-        """Take over an accepted connection, which may have waited since `waiting_since_us`; 0 where not."""
+        """Take over an accepted connection, which waited in the backlog since `waiting_since_us` (0: no)."""
         self.accepted_us = now_us
         self._listener = listener
         self._transport = transport
         self._protocol = server.ServerConnection()
         self._arrivals = ArrivalTimes()
-        self._unread_since_us = waiting_since_us  # since when bytes may wait in the kernel; 0 where none do
-        self.commands: deque[Command] = deque()  # unanswered, or behind one that is
-        self._protocol_error: ProtocolError | None = None  # of what was read last
+        self._unread_since_us = waiting_since_us  # since when bytes may be unread in the kernel, or 0
+        self.commands: deque[Command] = deque()  # not yet answered, or waiting behind one that is not
+        self._protocol_error: ProtocolError | None = None  # raised by the last read
         self._advancing = False
         self.command_count = 0
-        self._arrived_us = waiting_since_us or now_us  # since when what was read last may have been here
-        self.last_active_us = (
-            self._arrived_us
-        )  # when a command was answered last, or the connection was accepted
-        self.partial_since_us = 0  # since when an incomplete command has waited; 0 where there is none
-        self._error_size = 0  # of the error by which this side closes it
-        self.closing_since_us = 0  # since when this side has been closing it; 0 where it is not
+        self._arrived_us = waiting_since_us or now_us  # earliest arrival of the last read
+        self.last_active_us = self._arrived_us  # last answer, or the time of the accept
+        self.partial_since_us = 0  # since when a command has been incomplete, or 0
+        self._error_size = 0  # of the fatal error that closes the connection
+        self.closing_since_us = 0  # since when this side has been closing the connection, or 0
         transport.protocol = self
-        self._note_nothing_unread()
+        self._reset_unread_since_if_drained()
 
     # Called by the transport.
 
     def connection_made(self) -> None:
-        """Do nothing: an accepted connection is established from the beginning."""
+        """Do nothing: an accepted connection is already established."""
 
     def data_received(self, data: bytes) -> None:
-        """Read commands, and answer them where that is possible at once."""
+        """Parse commands, submit them and send the answers that are ready."""
         self._arrived_us = self._earliest_arrival_us()
         self._arrivals.receive(len(data), self._arrived_us)
-        # A full read may have left bytes that are as old.
+        # After a full read, bytes of the same age may remain in the kernel.
         self._unread_since_us = self._arrived_us if len(data) == READ_BYTES else 0
         self._protocol.receive_data(data)
         self.advance()
@@ -78,7 +75,7 @@
 
     @property
     def input_wait_us(self) -> int:
-        """How long what is read now may have been there unseen."""
+        """Upper bound of how long the input being read waited in the kernel."""
         return self._listener.handler.input_wait_us
 
     def connection_lost(self, _reason: str) -> None:
@@ -88,7 +85,7 @@
     # Commands and answers.
 
     def advance(self) -> None:
-        """Read commands, submit those that may begin, and send the answers that are due."""
+        """Read commands, submit those that may start, and send the answers that are due."""
         if self._advancing:
             return
         self._advancing = True
@@ -150,18 +147,18 @@
     def _submit_commands(self) -> None:
         earlier: list[Command] = []
         for command in self.commands:
-            if command.form is None or command.answer is not None:
+            if command.statement is None or command.answer is not None:
                 continue
             if command.request_id is None and not any(command.must_wait_for(other) for other in earlier):
                 try:
-                    self._listener.handler.submit(command, command.form)
+                    self._listener.handler.submit(command, command.statement)
                 except InvalidRequestError as error:
                     command.answer = server.failed(error.sqlstate, error.message)
                     continue
             earlier.append(command)
 
     def _send_answers(self) -> bool:
-        """Send the answers that are due; return whether there may be more to do."""
+        """Send the answers that are due; return whether more commands may be ready."""
         answers = self._take_answers()
         if answers:
             self._transport.write(answers)
@@ -186,9 +183,10 @@
         return answers
 
     def _close_when_done(self) -> bool:
-        """Close a connection on which nothing follows; return whether that is so.
+        """Close the connection if it is finished; return whether it was.
 
-        In a shutdown that is one that is idle: what its client has sent meanwhile is owed an answer, too.
+        During a shutdown only idle connections are closed: commands that the client has sent in the meantime
+        are answered, too.
         """
         if self._protocol_error is not None:
             self.close_with_error(
@@ -205,77 +203,79 @@
     # Called by the listener.
 
     def close_with_error(self, sqlstate: str, message: str, reason: CloseReason) -> None:
-        """Send a fatal error and close the connection in order."""
+        """Send a fatal error and close the connection gracefully."""
         error = server.fatal(sqlstate, message)
         self._error_size = len(error)
         self._transport.write(error)
         self._listener.close_gracefully(self, reason)
 
     def unanswered_requests(self) -> list[str]:
-        """Return the ids of requests that were read and have no answer yet."""
-        return [command.form.id for command in self.commands if command.form and command.answer is None]
+        """Return the ids of the requests that were read but not answered."""
+        return [
+            command.statement.id for command in self.commands if command.statement and command.answer is None
+        ]
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self._transport.close()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that the kernel has not taken, as the client does not read."""
+        """Output that the kernel has not accepted because the client does not read it."""
         return self._transport.write_buffer_size
 
     @property
     def unsent_answer_bytes(self) -> int:
-        """The same without the error that closes a connection, which is no answer to a command."""
+        """As `unsent_bytes`, without the fatal error that closes a connection, which answers no command."""
         return max(self.unsent_bytes - self._error_size, 0)
 
     @property
     def reads_slowly(self) -> bool:
-        """Whether so much is unsent that no further commands are read."""
+        """Whether the unsent output exceeds the limit beyond which no further commands are read."""
         return self.unsent_bytes > MAX_UNSENT_BYTES
 
     def resume(self) -> None:
-        """Read commands again, once the answers have left."""
+        """Resume reading commands after the answers have been sent."""
         if not self.closing_since_us:
             self._resume_reading()
             self.advance()
 
     def _resume_reading(self) -> None:
-        self._note_nothing_unread()
+        self._reset_unread_since_if_drained()
         self._transport.resume_reading()
 
-    def _note_nothing_unread(self) -> None:
-        """Forget since when bytes may wait where none do: what comes later has not waited."""
+    def _reset_unread_since_if_drained(self) -> None:
+        """Reset the unread timestamp if the kernel holds no bytes: later input has not waited."""
         if self._unread_since_us and self._transport.has_nothing_to_read():
             self._unread_since_us = 0
 
-    def has_left(self) -> bool:
-        """Return whether the client has ended or broken the connection, though no event says so yet."""
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed or reset the connection, even before its event was handled."""
         return self._transport.peer_has_left()
 
     def has_unread_bytes(self) -> bool:
-        """Return whether bytes have come, or the client's end, that the next poll will report."""
+        """Return whether input or an end of stream is pending that the next poll will report."""
         return not self._transport.has_nothing_to_read()
 
     def pause_reading(self) -> None:
-        """Read no further commands."""
+        """Stop reading commands."""
         self._unread_since_us = self._unread_since_us or self._listener.now()
         self._transport.pause_reading()
 
     def begin_closing(self, now_us: int) -> bool:
-        """Close the connection in order; return False where it is closed already."""
+        """Start a graceful close; return False if the connection is closed already."""
         self.closing_since_us = self.closing_since_us or now_us
         self._transport.write_eof()
         return not self._transport.closed
 
     def close_timed_out(self, now_us: int) -> bool:
-        """Return whether the client has had enough time to end its side."""
+        """Return whether the client has failed to close its side in time."""
         timeout_us = CLOSE_UNSENT_TIMEOUT_US if self._transport.write_buffer_size else CLOSE_TIMEOUT_US
         return now_us - self.closing_since_us > timeout_us
 
     @property
     def is_idle(self) -> bool:
-        """No command is open, nothing waits to be read, and every answer has left."""
+        """Whether no command is open, no input is pending, and every answer has been sent."""
         return (
             not self.commands
             and not self._protocol.buffered
--- a/juniperreel/platform/client_listener.py
+++ b/juniperreel/platform/client_listener.py
@@ -1,4 +1,4 @@
-"""All clients' connections of one driver: who is accepted, who is closed when descriptors run short."""
+"""Manages the client connections of one driver, including timeouts and eviction under descriptor shortage."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from juniperreel.platform.counters import CloseReason
 from juniperreel.platform.descriptor_budget import DescriptorBudget
 
-FIRST_COMMAND_TIMEOUT_US = 2_000_000  # for a connection to send its first command
-COMMAND_TIMEOUT_US = 2_000_000  # for the rest of a command that began to arrive
-UNREAD_BYTES_TIMEOUT_US = 500_000  # more than those, where bytes have come that were not read yet
-UNREAD_TIMEOUT_US = 10_000_000  # for a client with much unsent to read anything
-MAX_UNSENT_BYTES_OF_ALL = 16 << 20  # of clients with much unsent
+FIRST_COMMAND_TIMEOUT_US = 2_000_000  # for the first command of a connection
+COMMAND_TIMEOUT_US = 2_000_000  # for the rest of a partially received command
+UNREAD_BYTES_TIMEOUT_US = 500_000  # added to those while received bytes have not been read yet
+UNREAD_TIMEOUT_US = 10_000_000  # for a slow reader to read anything
+MAX_UNSENT_BYTES_OF_ALL = 16 << 20  # total of all slow readers
 IDLE_TIMEOUT_US = 60_000_000
-SHORTAGE_IDLE_TIMEOUT_US = 2_000_000  # the same where descriptors run short
+SHORTAGE_IDLE_TIMEOUT_US = 2_000_000  # as above, when descriptors are short
 
 
 @dataclass(slots=True)
 class SlowReader:
-    """A client with much unsent: how much at the last look, and since when that has not become less."""
+    """A client with much unsent output: its size at the last check, and since when it has not shrunk."""
 
     unsent_bytes: int
-    stuck_since_us: int
+    stalled_since_us: int
 
 
 class ClientListener:
-    """Owns the connections of all clients, and their part of the descriptor budget."""
+    """Owns all client connections and maintains their share of the descriptor budget."""
 
     def __init__(self, handler: RequestHandler, now: Callable[[], int], budget: DescriptorBudget) -> None:
         """`handler` answers the clients' requests."""
@@ -37,14 +37,16 @@
         self.now = now
         self.budget = budget
         self.clients: set[ClientConnection] = set()
-        self.closing = False  # connections are closed when their commands are answered
-        self._answered: dict[ClientConnection, None] = {}  # without an open command, longest ago first
+        self.closing = False  # whether connections are closed once their commands are answered
+        self._answered: dict[
+            ClientConnection, None
+        ] = {}  # clients without an open command, longest idle first
         self._slow_readers: dict[ClientConnection, SlowReader] = {}
 
     def accept(self, transport: Transport, waiting_since_us: int = 0) -> None:
-        """Serve a new connection, or close it where no descriptor is left for it.
+        """Serve a new connection, or close it if no descriptor is left for it.
 
-        It may have waited in the kernel since `waiting_since_us`, with requests whose time runs from there.
+        It may have waited in the backlog since `waiting_since_us`; the time of its requests counts from then.
         """
         now_us = self.now()
         if self.budget.clients_full and not self._evict_one(now_us):
@@ -54,7 +56,7 @@
         self.budget.clients += 1
 
     def remove(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Close a connection at once, and withdraw its open requests."""
+        """Close a connection immediately and withdraw its open requests."""
         if client not in self.clients:
             return
         self.clients.discard(client)
@@ -75,10 +77,10 @@
                 self.handler.client_disconnected(command)
 
     def close_gracefully(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Close a connection in order; its descriptor is free once the client has ended its side, too.
+        """Close a connection gracefully; its descriptor is freed once the client has closed its side, too.
 
-        Until then it counts as closing: counted among the clients that stay, it would make the driver close
-        all idle connections where only one is too many.
+        Until then it is counted as closing. If it still counted as active, the driver would close all idle
+        connections when only one exceeds the limit.
         """
         self._answered.pop(client, None)
         if not client.closing_since_us:
@@ -90,17 +92,16 @@
             self.remove(client, reason)
 
     def on_command_received(self, client: ClientConnection) -> None:
-        """A command has arrived."""
+        """Mark the client as busy; count it as active on its first command."""
         if client.command_count == 1:
             self.budget.active_clients += 1
         self._answered.pop(client, None)
 
     def on_commands_answered(self, client: ClientConnection) -> None:
-        """All commands of a client are answered.
+        """Mark the client as idle, and close the longest idle clients if too many are active.
 
-        Clients that send one command and keep their connection for good would fill all connections that the
-        operators' front opens to a driver, and it would reject the next clients unseen by the driver. So the
-        longest idle are closed when there are too many.
+        Clients that send one command and then keep their connection would use up all connections that the
+        platform's front end opens to a driver. It would then reject new clients before they reach the driver.
         """
         self._answered[client] = None
         while self.budget.too_many_active_clients and self._answered:
@@ -110,29 +111,29 @@
                 self.close_gracefully(longest_idle, CloseReason.DESCRIPTORS)
 
     def on_answers_unread(self, client: ClientConnection) -> None:
-        """A client has much unsent; the worst are closed where that takes too much memory of all."""
+        """Track a slow reader, and close the worst ones if their total unsent output is too large."""
         self._slow_readers[client] = SlowReader(client.unsent_bytes, self.now())
         while sum(reader.unsent_bytes for reader in self._slow_readers) > MAX_UNSENT_BYTES_OF_ALL:
             worst = max(self._slow_readers, key=lambda reader: reader.unsent_bytes)
             self.remove(worst, CloseReason.ANSWERS_UNREAD)
 
-    def _look_at_slow_readers(self, now_us: int) -> None:
+    def _check_slow_readers(self, now_us: int) -> None:
         for client, reader in list(self._slow_readers.items()):
             if not client.reads_slowly:
                 del self._slow_readers[client]
                 client.resume()
             elif client.unsent_bytes < reader.unsent_bytes:
                 reader.unsent_bytes = client.unsent_bytes
-                reader.stuck_since_us = now_us
-            elif now_us - reader.stuck_since_us > UNREAD_TIMEOUT_US:
+                reader.stalled_since_us = now_us
+            elif now_us - reader.stalled_since_us > UNREAD_TIMEOUT_US:
                 self.remove(client, CloseReason.ANSWERS_UNREAD)
 
     def _evict_one(self, now_us: int) -> bool:
-        """Close the connection that will be missed least; return False where there is none.
+        """Close the least valuable connection to free its descriptor; return False if there is none.
 
-        That is one that is being closed, or never sent a command, else the longest idle; last, one that sent
-        a part of its first command. It is closed at once, as its descriptor is needed now. One whose bytes
-        wait to be read is about to ask, and stays.
+        In order of preference: connections that are being closed, those that never sent a command, the
+        longest idle, and those that sent part of their first command. Connections with unread input are
+        kept, as they are about to send a command.
         """
         candidates = [client for client in self.clients if self._may_be_evicted(client, now_us)]
         candidates.sort(key=_eviction_order)
@@ -155,9 +156,9 @@
         return now_us - client.last_active_us > SHORTAGE_IDLE_TIMEOUT_US
 
     def close_inactive(self) -> None:
-        """Close connections whose time is up; called at intervals."""
+        """Close connections that have timed out; called periodically."""
         now_us = self.now()
-        self._look_at_slow_readers(now_us)
+        self._check_slow_readers(now_us)
         for client in list(self.clients):
             if client.closing_since_us:
                 if client.close_timed_out(now_us):
@@ -170,7 +171,7 @@
         idle_timeout_us = SHORTAGE_IDLE_TIMEOUT_US if self.budget.clients_nearly_full else IDLE_TIMEOUT_US
         if client.partial_since_us:
             if self._is_overdue(client, now_us - client.partial_since_us, COMMAND_TIMEOUT_US):
-                client.close_with_error("08P01", "a command does not end", CloseReason.HALF_COMMAND)
+                client.close_with_error("08P01", "a command does not end", CloseReason.INCOMPLETE_COMMAND)
         elif not client.command_count:
             if self._is_overdue(client, idle_us, FIRST_COMMAND_TIMEOUT_US):
                 client.close_with_error("57P05", "nothing was asked", CloseReason.NO_COMMAND)
@@ -178,9 +179,9 @@
             self.close_gracefully(client, CloseReason.IDLE)
 
     def _is_overdue(self, client: ClientConnection, waited_us: int, timeout_us: int) -> bool:
-        """Whether a client's time is up; the next poll may read the rest of a command that is there.
+        """Return whether a client has timed out, allowing for input that the next poll will read.
 
-        A part of the wait may lie before the connection was accepted, when nothing could be read.
+        Part of the wait may precede the accept, when nothing could be read.
         """
         if waited_us <= timeout_us:
             return False
@@ -188,10 +189,10 @@
         return could_be_read_us > UNREAD_BYTES_TIMEOUT_US or not client.has_unread_bytes()
 
     def close_when_answered(self) -> None:
-        """Close idle connections now, and from now on the others once they are idle; called again and again.
+        """Close idle connections now and the others once they are idle; called repeatedly.
 
-        Those are read on until then: what was sent behind an open command was accepted with it, and is owed
-        its answer. No connection stays busy for good, as requests are rejected at once in the end.
+        Busy connections are still read, because commands sent after an open one must be answered, too. None
+        stays busy indefinitely: the last phase of a shutdown rejects requests immediately.
         """
         self.closing = True
         for client in list(self.clients):
--- a/juniperreel/platform/command.py
+++ b/juniperreel/platform/command.py
@@ -1,4 +1,4 @@
-"""One command of a client, and who answers it."""
+"""A client's command, and the interface of its request handler."""
 
 from __future__ import annotations
 
@@ -12,26 +12,30 @@
 
 
 class Command:
-    """One command of a client, from its last byte to its answer.
+    """One command of a client, from the arrival of its last byte until it is answered.
 
-    `form` is None for a command that is answered without a request.
+    `statement` is None for a command that is answered without a request.
     """
 
-    __slots__ = ("answer", "arrived_us", "client", "form", "request_id", "wait_us")
+    __slots__ = ("answer", "arrived_us", "client", "request_id", "statement", "wait_us")
 
     def __init__(
-        self, client: ClientConnection, arrived_us: int, form: StatementRequest | None, answer: bytes | None
+        self,
+        client: ClientConnection,
+        arrived_us: int,
+        statement: StatementRequest | None,
+        answer: bytes | None,
     ) -> None:
-        """`answer` is given where it is known at once."""
+        """`answer` is set if the command can be answered immediately."""
         self.client = client
         self.arrived_us = arrived_us
-        self.form = form
+        self.statement = statement
         self.answer = answer
-        self.request_id: str | None = None  # of the open request that will answer it
-        self.wait_us = client.input_wait_us  # since it may have arrived, until the event loop saw it
+        self.request_id: str | None = None  # of the open request that answers the command
+        self.wait_us = client.input_wait_us  # upper bound of the time between arrival and reading
 
     def finish(self, answer: bytes) -> None:
-        """Set the final answer, and send it once all commands before this one have theirs."""
+        """Set the final answer, which is sent once all preceding commands are answered."""
         self.request_id = None
         self.answer = answer
         self.client.advance()
@@ -39,36 +43,37 @@
     def must_wait_for(self, earlier: Command) -> bool:
         """Return whether an earlier command of the same connection must be answered first.
 
-        A read sent behind a write of its key, on one connection, expects to see it; a write sent behind a
-        read expects not to be seen by it.
+        On one connection, a read must see earlier writes of its key and must not see later ones.
         """
-        if self.form is None or earlier.form is None or earlier.answer is not None:
+        if self.statement is None or earlier.statement is None or earlier.answer is not None:
             return False
-        return self.form.key == earlier.form.key and (self.form.is_write or earlier.form.is_write)
+        return self.statement.key == earlier.statement.key and (
+            self.statement.is_write or earlier.statement.is_write
+        )
 
 
 class RequestHandler(Protocol):
-    """Answers clients' commands.
+    """Handles client requests.
 
-    `input_ready_since_us`: since when what is read now may have waited in the kernel.
-    `input_wait_us`: how long that was, at most.
+    `input_ready_since_us`: the earliest time at which the input being read may have arrived in the kernel.
+    `input_wait_us`: how long it waited there, at most.
     """
 
     input_ready_since_us: int
     input_wait_us: int
 
-    def submit(self, command: Command, form: StatementRequest) -> None:
-        """Open a request; its answer arrives by `command.finish`. Raises InvalidRequestError."""
+    def submit(self, command: Command, statement: StatementRequest) -> None:
+        """Open a request, to be answered through `command.finish`. Raises InvalidRequestError."""
         ...
 
     def connection_closed(self, unanswered: list[str], reason: CloseReason) -> None:
-        """A client's connection is closed while the requests of these ids have no answer."""
+        """Handle the close of a client connection, with the ids of its unanswered requests."""
         ...
 
     def answers_dropped(self, unsent_bytes: int, reason: CloseReason) -> None:
-        """A client's connection ends here while answers that were given have not left."""
+        """Handle a client connection that is closed before all of its answers were sent."""
         ...
 
     def client_disconnected(self, command: Command) -> None:
-        """Withdraw the open request of a command whose client is gone."""
+        """Withdraw the open request of a command whose client has disconnected."""
         ...
--- a/juniperreel/platform/config.py
+++ b/juniperreel/platform/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file: JSON, read completely or not at all."""
+"""Parses the platform's configuration file (JSON). An invalid file is rejected as a whole."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from juniperreel.platform_settings import read_settings
 from juniperreel.routing.types import Settings
 
-# What a file of any content can make its readers raise: none of it may end a driver that reloads its file.
-UNREADABLE = (
+# Exceptions that invalid file content can raise while it is parsed. None may terminate a driver on reload.
+PARSE_ERRORS = (
     msgspec.DecodeError,
     LookupError,
     ValueError,
@@ -25,7 +25,7 @@
 
 
 class Limits(msgspec.Struct):
-    """What the operators allow the process; only the number of sockets is enforced here."""
+    """Resource limits of the process; only the number of sockets is enforced here."""
 
     cores: float = 1.0
     memory_mb: float = 256.0
@@ -33,7 +33,7 @@
 
 
 class ConfigFile(msgspec.Struct):
-    """The file's keys, as the operators name them."""
+    """The keys of the file, under the platform's names."""
 
     name: str
     listen: str
@@ -45,9 +45,9 @@
 
 
 class Config(msgspec.Struct):
-    """The configuration of one driver. Durations are microseconds.
+    """The configuration of one driver. Durations are in microseconds.
 
-    `cached_endpoint_list` is the list that discovery sent last, not yet read. `zones` and `machine_types` are
+    `cached_endpoint_list` is the last list from discovery, as unparsed JSON. `zones` and `machine_types` are
     names in the order of the settings.
     """
 
@@ -61,21 +61,21 @@
     zones: list[str]
     machine_types: list[str]
     connect_timeout_us: int
-    idle_timeout_us: int  # after which an endpoint closes an idle connection, at the latest
+    idle_timeout_us: int  # longest time that an endpoint keeps an idle connection open
 
 
 def _parse_address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < PORT_LIMIT:
-        raise ConfigError(f"not an address: {text!r}")
+        raise ConfigError(f"invalid address, expected host:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
 def parse_config(data: bytes) -> Config:
-    """Read the file's content. Raises ConfigError."""
+    """Parse the file's content. Raises ConfigError."""
     try:
         file = msgspec.json.decode(data, type=ConfigFile)
-        router = read_settings(file.settings).router  # positions on sockets are Unix times: no zero
+        router = read_settings(file.settings).router  # positions are Unix times: no offset
         ceilings = file.settings["ceilings"]
         return Config(
             name=file.name,
@@ -90,5 +90,5 @@
             connect_timeout_us=round(ceilings["connect_timeout_s"] * 1_000_000),
             idle_timeout_us=round(ceilings["conn_idle_s"] * 1_000_000),
         )
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise ConfigError(f"{type(error).__name__}: {error}") from error
--- a/juniperreel/platform/discovery.py
+++ b/juniperreel/platform/discovery.py
@@ -1,7 +1,6 @@
-"""The driver's view of discovery: single polls of the endpoint list, and a watch of its changes.
+"""Discovery client: polls the endpoint list and watches it for changes.
 
-Reports lists as they arrive and failures as they happen. When to poll, and when to open a watch again, is the
-router's decision.
+Reports each list and each failure to the driver. The router decides when to poll and when to reopen a watch.
 """
 
 from __future__ import annotations
@@ -22,40 +21,39 @@
 from juniperreel.routing.types import Settings, UpdateKind
 
 PATH = "/v1/endpoints"
-# A response is due this long after the wait that its call asked for; the operators' list fails calls at 2 s.
+# Time allowed for a response beyond the wait that its call requested. Discovery itself fails calls after 2 s.
 RESPONSE_TIMEOUT_US = 1_500_000
 CONNECT_TIMEOUT_US = 1_000_000
 
-# How long one call of a watch may wait for changes, as a part of the time after which a driver that does not
-# poll counts as notified.
+# Long-poll wait of one watch call, as a fraction of the poll interval. A driver that has not polled for that
+# interval counts as notified of all changes.
 WATCH_WAIT_FRACTION = 0.5
-# At most so long: what a silent watch misses counts as notified 6 s after it fell silent, by the operators'
-# page, and its silence is known only when its response is overdue (`RESPONSE_TIMEOUT_US`). Half a second is
-# left for opening a new one.
+# The platform counts changes missed by a silent watch as notified 6 s after it fell silent. The driver
+# notices the silence only when the response is overdue (`RESPONSE_TIMEOUT_US`), which leaves 0.5 s for a new
+# watch.
 MAX_WATCH_WAIT_US = 4_000_000
-# Every call costs discovery the same, whoever makes it: where few drivers call, they can do so more often,
-# and know of a silent watch while a new one may still fail once. The least is what a call may take.
-WATCH_WAIT_PER_DRIVER_US = 20_000  # of the fleet: 50 calls a second from all of them
+# Bounds the call rate of the whole fleet. Small fleets can call more often and detect a silent watch early
+# enough for one failed attempt to reopen it. The minimum is the longest time that a call may take.
+WATCH_WAIT_PER_DRIVER_US = 20_000  # 50 calls per second across the fleet
 MIN_WATCH_WAIT_US = 2_000_000
 
 LOCAL_FAILURE_RETRIES = 10
-LOCAL_FAILURE_PAUSE_S = 0.1
+LOCAL_FAILURE_RETRY_INTERVAL_S = 0.1
 LOCAL_FAILURE_ERRNOS = DESCRIPTOR_EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL, errno.EAGAIN}
 
 OnUpdate = Callable[[UpdateKind, EndpointList | None], None]
 
 
 def watch_wait_us(settings: Settings) -> int:
-    """Return how long one call of a watch may wait for changes."""
+    """Return the long-poll wait of one watch call."""
     wait_us = min(max(settings.router_count * WATCH_WAIT_PER_DRIVER_US, MIN_WATCH_WAIT_US), MAX_WATCH_WAIT_US)
     return min(wait_us, int(settings.poll_interval_us * WATCH_WAIT_FRACTION) or wait_us)
 
 
 class Discovery:
-    """One driver's client of discovery; `run` must be running.
+    """Discovery client of one driver; `run` must be running.
 
-    Owns the version of the newest list that was accepted, and is the one place that decides whether a list is
-    stale.
+    Owns the version of the newest accepted list and alone decides whether a list is stale.
     """
 
     def __init__(
@@ -68,9 +66,9 @@
         on_update: OnUpdate,
         log: Log,
     ) -> None:
-        """`wait_us` is how long one call of a watch may wait for changes.
+        """`wait_us` is the long-poll wait of one watch call.
 
-        `on_update` gets each accepted list, and None for a call that failed.
+        `on_update` receives each accepted list, or None if a call failed.
         """
         self.address = address
         self.version = 0
@@ -85,16 +83,16 @@
         self._watch_scope: trio.CancelScope | None = None
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Own the tasks of all calls, until cancelled."""
+        """Run the tasks of all calls until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             await trio.sleep_forever()
 
     def subscribe(self, enabled: bool) -> None:
-        """Open a watch, or end it.
+        """Open or close a watch.
 
-        A watch that is open stays so: what discovery has written on it counts as notified, and would be lost
-        with the connection.
+        An open watch is kept: changes already written to its connection count as notified and would be lost
+        if it were reopened.
         """
         if enabled and self._watch_scope is None:
             self._open_watch()
@@ -115,16 +113,13 @@
         self._nursery.start_soon(self._fetch)
 
     def change_address(self, address: Address) -> None:
-        """Use another discovery server.
-
-        The watch is opened there at once: a subscription outlives the address.
-        """
+        """Switch to another discovery server and open a watch there immediately."""
         if address != self.address:
             self.address = address
             self._open_watch()
 
     async def _connect(self) -> DiscoveryConnection:
-        """Connect; try again where this machine lacks resources for a moment, which is no failed call."""
+        """Connect, retrying on transient local resource shortages, which do not count as failed calls."""
         for _ in range(LOCAL_FAILURE_RETRIES):
             try:
                 return await self._connect_once()
@@ -132,7 +127,7 @@
                 if not _is_local_failure(error):
                     raise
                 self._log.warning("no socket for discovery", error=str(error))
-            await trio.sleep(LOCAL_FAILURE_PAUSE_S)
+            await trio.sleep(LOCAL_FAILURE_RETRY_INTERVAL_S)
         return await self._connect_once()
 
     async def _connect_once(self) -> DiscoveryConnection:
@@ -144,7 +139,7 @@
         address = None
         accepted_before = self._accepted_lists
         try:
-            # What the old address answers after a change of address is not the newest list.
+            # If the address changed meanwhile, the response of the old server is outdated.
             while address != self.address:
                 address = self.address
                 accepted_before = self._accepted_lists
@@ -171,7 +166,7 @@
             self._report_failure(error, kind)
 
     async def _call_repeatedly(self) -> None:
-        """Call for changes until a call fails. Raises trio.TooSlowError for a response that is overdue."""
+        """Poll for changes until a call fails. Raises trio.TooSlowError if a response is overdue."""
         while True:
             async with await self._connect() as connection:
                 while True:
@@ -188,7 +183,7 @@
         self._on_update(kind, None)
 
     def _accept_list(self, body: bytes, accepted_before: int) -> None:
-        """Read a response, and report its list unless that is stale.
+        """Parse a response and report its list unless it is stale.
 
         `accepted_before` is the number of lists accepted when the call began.
         """
@@ -201,14 +196,15 @@
             self._log.warning("unreadable endpoint list lines", lines=endpoint_list.unreadable_lines)
         is_older = endpoint_list.version < self.version
         if is_older and accepted_before != self._accepted_lists:
-            # It was overtaken by a newer list: an endpoint that drains by that one would be ready again.
+            # A newer list arrived during this call; applying the older one would make an endpoint that is
+            # draining appear ready again.
             self._log.warning(
                 "stale endpoint list ignored", version=endpoint_list.version, newest=self.version
             )
             return
         if is_older and not endpoint_list.complete:
-            self.version = 0  # discovery restarted: its changes do not apply to the list that is had
-            raise EndpointListError("changes to an older list")
+            self.version = 0  # discovery restarted: its delta does not apply to the current list
+            raise EndpointListError("delta applies to an older list version")
         self._accepted_lists += 1
         self.version = endpoint_list.version
         kind = UpdateKind.SNAPSHOT if endpoint_list.complete else UpdateKind.DELTA
--- a/juniperreel/platform/discovery_connection.py
+++ b/juniperreel/platform/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to discovery (h11), on which calls follow one another."""
+"""A persistent HTTP/1.1 connection to discovery, using h11."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DiscoveryConnection:
-    """The calls of one connection. Use as an asynchronous context manager, which closes the stream."""
+    """Sequential calls on one connection. An asynchronous context manager that closes the stream."""
 
     def __init__(self, stream: trio.abc.Stream, host: str) -> None:
         """`host` is the value of the Host header."""
@@ -35,9 +35,9 @@
         await self._stream.aclose()
 
     async def get(self, target: str) -> bytes:
-        """Return the body of the response.
+        """Return the response body.
 
-        Raises DiscoveryCallError, after which the connection is of no further use.
+        Raises DiscoveryCallError, after which the connection cannot be used again.
         """
         try:
             await self._send_request(target)
@@ -45,7 +45,7 @@
         except (h11.ProtocolError, trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise DiscoveryCallError(str(error)) from error
         if status != HTTP_OK:
-            raise DiscoveryCallError(f"status {status}")
+            raise DiscoveryCallError(f"HTTP status {status}, expected {HTTP_OK}")
         return bytes(body)
 
     async def _send_request(self, target: str) -> None:
@@ -66,14 +66,14 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY_BYTES:
-                    raise DiscoveryCallError("the answer does not end")
+                    raise DiscoveryCallError(f"response body exceeds {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return status, body
             elif isinstance(event, h11.ConnectionClosed):
-                raise DiscoveryCallError("the connection ended")
+                raise DiscoveryCallError("connection closed before the response was complete")
 
     def start_next_call(self) -> bool:
-        """Return whether another call can follow on this connection, and prepare for it."""
+        """Prepare for the next call; return False if the connection cannot be reused."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return True
--- a/juniperreel/platform/driver.py
+++ b/juniperreel/platform/driver.py
@@ -1,7 +1,7 @@
-"""The platform's driver: one router with its clients, its endpoints and its timers, on one task.
+"""The platform's driver: connects one router to its clients, endpoints and timers, on one task.
 
-Clients' requests and endpoints' replies become events of the router at once; the router's actions become
-bytes in the same turn. Nothing here selects an endpoint, retries an attempt or sheds a request.
+Client requests and endpoint replies are passed to the router as events, and the router's actions are carried
+out in the same iteration of the event loop. Endpoint selection, retries and load shedding are the router's.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from juniperreel.platform.descriptor_budget import DescriptorBudget
 from juniperreel.platform.endpoint_clock import EndpointClock
 from juniperreel.platform.endpoint_directory import EndpointDirectory
-from juniperreel.platform.endpoint_facts import EndpointFacts
 from juniperreel.platform.endpoint_list import EndpointList
+from juniperreel.platform.endpoint_metadata import EndpointMetadataReader
 from juniperreel.platform.endpoint_pools import Connect, EndpointPools
 from juniperreel.platform.endpoint_source import EndpointSource
 from juniperreel.platform.errors import InvalidRequestError
@@ -49,20 +49,20 @@
 )
 
 HOUSEKEEPING_INTERVAL_US = 250_000
-# Beyond the deadline, a request without an answer is a fault of the router. Up to half a second late an
-# answer is only worth nothing, and the housekeeping that looks for such requests has its interval.
+# A request still unanswered this long after its deadline is a router fault. Answers up to 0.5 s late are
+# worthless but not a violation, and the check for such requests runs only at the housekeeping interval.
 OVERDUE_AFTER_US = 100_000
 HEALTH_CHECK_TIMEOUT_US = 250_000
-LEFT_AT_DEADLINE_US = 60_000  # a client that leaves with less than this left may have waited in vain
-MAX_LATE_REQUESTS_LOGGED = 40  # the others are counted only
-END_OF_PROGRAM = "end of the program"
+LEFT_AT_DEADLINE_US = 60_000  # a client that leaves with less time left may have timed out
+MAX_LATE_REQUESTS_LOGGED = 40  # further ones are only counted
+PROCESS_EXIT_REASON = "process exit"
 SESSION_CONSISTENCY = (Consistency.WRITE, Consistency.SESSION)
 
 
 class PlatformDriver(RouterLoop[Event]):
-    """Owns the open requests and all connections. `process_pending` does all that is due.
+    """Owns the open requests and all connections; `process_pending` performs all work that is due.
 
-    Satisfies `RequestHandler` for its client listener. A request has one answer: the first is the final one.
+    Implements `RequestHandler` for its client listener. Only the first answer to a request is sent.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         discovery: EndpointSource,
         log: Log,
     ) -> None:
-        """`now` reads the clock, `connect` opens connections to endpoints."""
+        """`now` returns the current time in microseconds; `connect` opens connections to endpoints."""
         super().__init__(config.router, config.seed)
         self.config = config
         self.settings = config.router
@@ -94,25 +94,25 @@
         self._endpoints = EndpointDirectory(self.endpoint_pools, config.router.removed_endpoints_serve)
         self.client_listener = ClientListener(self, now, self.budget)
         self.endpoint_clock = EndpointClock()
-        self._facts = EndpointFacts(self.endpoint_clock, now, self._on_clock_adjusted)
+        self._metadata_reader = EndpointMetadataReader(self.endpoint_clock, now, self._on_clock_adjusted)
         self.shutdown = GracefulShutdown(max(item.deadline_us for item in config.router.classes))
         self.requests = OpenRequests(now)
-        self._overdue_look_is_due = False
-        self.timers.call_at(now() + HOUSEKEEPING_INTERVAL_US, self._keep_house)
+        self._overdue_check_due = False
+        self.timers.call_at(now() + HOUSEKEEPING_INTERVAL_US, self._run_housekeeping)
 
-    # The driver's turn.
+    # Event processing.
 
     def next_due_us(self) -> int | None:
-        """Return when the next timer is due, the driver's or the router's; None where there is none."""
+        """Return when the next timer of the driver or the router is due, or None."""
         times = [due for due in (self.next_timer_us(), self.timers.next_due_us()) if due is not None]
         return min(times) if times else None
 
     def process_pending(self) -> None:
-        """Run due timers, then hand the router all events, until none is left."""
+        """Run due timers, then pass events to the router until none is left."""
         now_us = self.now()
         self.timers.run_due(now_us)
         self._process_batches(now_us)
-        if self._overdue_look_is_due:
+        if self._overdue_check_due:
             self._answer_overdue_requests(now_us)
             self._process_batches(self.now())
 
@@ -123,29 +123,30 @@
     def _on_timer_error(self, error: Exception) -> None:
         self.log.error("timer raised", exc_info=error)
 
-    def _keep_house(self) -> None:
-        self.timers.call_at(self.now() + HOUSEKEEPING_INTERVAL_US, self._keep_house)
+    def _run_housekeeping(self) -> None:
+        self.timers.call_at(self.now() + HOUSEKEEPING_INTERVAL_US, self._run_housekeeping)
         self.client_listener.close_inactive()
         self.endpoint_pools.close_idle(forget_retired=not self.settings.removed_endpoints_serve)
-        self._look_for_overdue_requests()
+        self._request_overdue_check()
 
-    def _look_for_overdue_requests(self) -> None:
-        self._overdue_look_is_due = True
+    def _request_overdue_check(self) -> None:
+        self._overdue_check_due = True
 
     def _answer_overdue_requests(self, now_us: int) -> None:
-        """Answer what the router should have answered: its faults must not keep clients waiting forever.
+        """Answer requests that the router failed to answer, so that its faults leave no client waiting.
 
-        After a hold-up all is late, so this comes when time-outs and the router have had their turn.
+        Runs after timers and router events have been processed: after a suspension of the process everything
+        is late, and the router's own answers are more specific.
         """
-        self._overdue_look_is_due = False
+        self._overdue_check_due = False
         is_end = self.shutdown.started and now_us >= self.shutdown.last_answers_us()
         for request_id, request in list(self.requests.by_id.items()):
             is_overdue = is_end or now_us > request.deadline_us + OVERDUE_AFTER_US
             if request.command is not None and is_overdue:
-                self._answer_for_router(request_id, request)
+                self._answer_overdue_request(request_id, request)
 
-    def _answer_for_router(self, request_id: str, request: OpenRequest) -> None:
-        """Answer a request that the router has forgotten, and have it cancelled there."""
+    def _answer_overdue_request(self, request_id: str, request: OpenRequest) -> None:
+        """Answer a request that the router lost track of, and cancel it in the router."""
         self.log.error("open request overdue", request=request_id)
         if request.record.may_have_executed():
             self._answer(request_id, server.failed("58000", "the time is up"), AnswerKind.FAILED)
@@ -155,60 +156,64 @@
 
     # Clients' requests.
 
-    def submit(self, command: Command, form: StatementRequest) -> None:
-        """Open a request; its answer arrives by `command.finish`. Raises InvalidRequestError."""
-        validated = self._validator.validate(form)
-        if not self._endpoints.has_group(form.group):
+    def submit(self, command: Command, statement: StatementRequest) -> None:
+        """Open a request, to be answered through `command.finish`. Raises InvalidRequestError."""
+        validated = self._validator.validate(statement)
+        if not self._endpoints.has_group(statement.group):
             raise InvalidRequestError("3D000", "no such cluster")
-        if self.requests.is_id_in_use(form.id):
+        if self.requests.is_id_in_use(statement.id):
             raise InvalidRequestError("42710", "the id is another request's")
         consistency = validated.request_class.consistency
         if self.shutdown.rejects_requests(self.now()):
-            self._reject_at_once(command, form)
+            self._reject_at_once(command, statement)
             return
-        deadline_us = self.shutdown.latest_answer_us(command.arrived_us + form.timeout_ms * 1000)
+        deadline_us = self.shutdown.latest_answer_us(command.arrived_us + statement.timeout_ms * 1000)
         session_age_us = None
-        if form.last_write_ms and consistency is Consistency.SESSION:
-            session_age_us = max(self.now() - self.endpoint_clock.to_driver_us(form.last_write_ms * 1000), 0)
+        if statement.last_write_ms and consistency is Consistency.SESSION:
+            session_age_us = max(
+                self.now() - self.endpoint_clock.to_driver_us(statement.last_write_ms * 1000), 0
+            )
         record = RequestRecord(validated.request_class)
-        self.requests.by_id[form.id] = OpenRequest(form, command, deadline_us, record)
+        self.requests.by_id[statement.id] = OpenRequest(statement, command, deadline_us, record)
         if self.log.tracing:
             left_us = deadline_us - self.now()
-            self.log.trace("request taken", request=form.id, class_name=form.class_name, left_us=left_us)
-        command.request_id = form.id
+            self.log.trace(
+                "request taken", request=statement.id, class_name=statement.class_name, left_us=left_us
+            )
+        command.request_id = statement.id
         self.enqueue(
             Request(
-                id=form.id,
+                id=statement.id,
                 class_index=validated.class_index,
                 tenant_index=validated.tenant_index,
-                group=form.group,
+                group=statement.group,
                 deadline_us=deadline_us,
-                session=form.key if consistency in SESSION_CONSISTENCY else None,
+                session=statement.key if consistency in SESSION_CONSISTENCY else None,
                 session_age_us=session_age_us,
-                is_retry=form.is_retry,
+                is_retry=statement.is_retry,
             )
         )
 
-    def _reject_at_once(self, command: Command, form: StatementRequest) -> None:
-        """Answer a request for which no time is left before the end of the program."""
+    def _reject_at_once(self, command: Command, statement: StatementRequest) -> None:
+        """Reject a request that arrives too late in the shutdown to be served."""
         command.answer = server.rejected("the driver ends; trying again does no harm", 0)
         self.counters.answers[AnswerKind.REJECTED] += 1
-        self.counters.rejected_at_the_end += 1
+        self.counters.rejected_at_shutdown += 1
         if self.log.tracing:
-            self.log.trace("request rejected at once", request=form.id, class_name=form.class_name)
+            self.log.trace("request rejected at once", request=statement.id, class_name=statement.class_name)
 
     def connection_closed(self, unanswered: list[str], reason: CloseReason) -> None:
-        """Count a client's connection that is closed while the requests of these ids have no answer."""
+        """Record the close of a client connection and the ids of its unanswered requests."""
         self.counters.closed_clients[reason] += 1
         if reason is CloseReason.CLIENT_LEFT:
-            self._look_for_late_requests(unanswered)
+            self._log_requests_near_deadline(unanswered)
         else:
             self.monitor.on_client_closed(unanswered, reason.value)
         if self.log.tracing:
             self.log.trace("client closed", reason=reason.value, unanswered=unanswered)
 
-    def _look_for_late_requests(self, unanswered: list[str]) -> None:
-        """Log requests whose client left about the time of their deadline: perhaps it waited in vain."""
+    def _log_requests_near_deadline(self, unanswered: list[str]) -> None:
+        """Log requests whose client left close to their deadline, possibly because of a missing answer."""
         now_us = self.now()
         for request_id in unanswered:
             request = self.requests.by_id.get(request_id)
@@ -238,11 +243,11 @@
         )
 
     def answers_dropped(self, unsent_bytes: int, reason: CloseReason) -> None:
-        """Count a client's connection that ends here while answers that were given have not left."""
+        """Record a client connection that is closed before all of its answers were sent."""
         self.monitor.on_answers_dropped(unsent_bytes, reason.value)
 
     def client_disconnected(self, command: Command) -> None:
-        """Withdraw the open request of a command whose client is gone."""
+        """Withdraw the open request of a command whose client has disconnected."""
         request_id = command.request_id
         command.request_id = None
         if request_id is None:
@@ -269,23 +274,23 @@
         command.finish(data)
 
     def _withdraw_unsent(self, request: OpenRequest) -> None:
-        """Stop queries that the kernel has taken in part, once nobody waits for their replies.
+        """Abort partially sent queries of a request whose reply is no longer needed.
 
-        Their rest would leave when the endpoint reads again, and be executed. The router's own cancellation
-        concerns attempts that may have been executed, and not all deployments allow it.
+        Otherwise the rest would be sent once the endpoint reads again, and the query would be executed. The
+        router's cancellation covers only attempts that may have been executed, and can be disabled.
         """
         for exchange in list(request.exchanges.values()):
             if self.endpoint_pools.withdraw_unsent(exchange):
                 self.counters.withdrawn_unsent += 1
 
-    # The router's actions.
+    # Router actions.
 
     def router_events(self, host_events: list[Event], _now: int) -> list[Event]:
-        """Return the events as they are: what the driver enqueues are the router's own."""
+        """Return the events unchanged: the driver enqueues router events directly."""
         return host_events
 
     def send(self, request: str, endpoint: str, timeout_us: int, now: int) -> None:
-        """Start the request's next attempt; a time-out of 0 lasts until the deadline."""
+        """Start the request's next attempt; a timeout of 0 means until the deadline."""
         open_request = self.requests.by_id.get(request)
         if open_request is None:
             return
@@ -298,7 +303,7 @@
         exchange = Exchange(owner)
         open_request.exchanges[attempt] = exchange
         if open_request.command is None:
-            exchange.finish(Outcome.NOT_SENT)  # the operators' rule 1: nothing is sent after the final answer
+            exchange.finish(Outcome.NOT_SENT)  # platform rule 1: no attempt after the final answer
             return
         self._abandon_at(until_us, exchange)
         self.endpoint_pools.run(endpoint, exchange)
@@ -306,24 +311,24 @@
     def _abandon_at(self, time_us: int, exchange: Exchange) -> None:
         self.timers.call_at(time_us, partial(self.endpoint_pools.abandon, exchange, False))
 
-    # What attempts ask, and tell.
+    # Attempt callbacks (`AttemptHost`).
 
     def confirm_send(self, request_id: str, number: int) -> bool:
-        """Ask the router whether an attempt still fits."""
+        """Ask the router whether an attempt is still valid."""
         return self.router.confirm_send(self.now(), request_id, number)
 
-    def on_client_found_gone(self, request: OpenRequest) -> None:
-        """Withdraw the requests of a client that has left, though no event says so yet."""
+    def on_client_disconnect_detected(self, request: OpenRequest) -> None:
+        """Withdraw the requests of a client whose disconnect was detected before its event was handled."""
         if request.command is not None:
             self.client_listener.remove(request.command.client, CloseReason.CLIENT_LEFT)
 
     def on_send_refused(self, attempt: Attempt, reason: SendRefusal) -> None:
-        """Count a query that was not written although a connection was there for it."""
+        """Count an attempt that was not written although a connection was available."""
         self.counters.refused_sends[reason] += 1
         self._trace("send refused", attempt, reason=reason.value)
 
     def on_attempt_written(self, attempt: Attempt) -> None:
-        """Have the rule monitor check what was written."""
+        """Have the rule monitor check the written attempt."""
         now_us = self.now()
         self.monitor.on_query_written(
             attempt.request_id,
@@ -339,7 +344,7 @@
         self._trace("attempt written", attempt, stated_us=attempt.stated_us)
 
     def on_attempt_done(self, attempt: Attempt, result: ExchangeResult) -> None:
-        """Answer the request where the attempt served it, and tell the router."""
+        """Answer the request if the attempt succeeded, and report the attempt to the router."""
         request = attempt.request
         request.exchanges.pop(attempt.number, None)
         self.monitor.on_attempt_ended(request.record, attempt.number, result.outcome)
@@ -347,7 +352,7 @@
         self._trace("attempt ended", attempt, outcome=result.outcome.value)
         reply = result.reply
         parameters = reply.parameters if reply is not None else {}
-        facts = self._facts.read_reply(attempt.endpoint, parameters, attempt.started_us)
+        metadata = self._metadata_reader.read_reply(attempt.endpoint, parameters, attempt.started_us)
         answers_request = False
         if result.outcome is Outcome.OK and reply is not None:
             answers_request = True
@@ -360,9 +365,9 @@
                 outcome=result.outcome,
                 duration_us=max(self.now() - attempt.started_us, 0),
                 request_finished=answers_request or request.command is None,
-                role=facts.role,
-                position_us=facts.position_us,
-                load_report=facts.load_report,
+                role=metadata.role,
+                position_us=metadata.position_us,
+                load_report=metadata.load_report,
             )
         )
         self.requests.remove_if_done(attempt.request_id, request)
@@ -388,7 +393,7 @@
             self.endpoint_pools.abandon(exchange, cancelled=True)
 
     def reject(self, request: str, retry_after_us: int, _now: int) -> None:
-        """Answer the request as rejected; 0 gives no retry-after hint."""
+        """Answer the request as rejected; a `retry_after_us` of 0 sends no retry-after hint."""
         retry_after_ms = -(-retry_after_us // 1000)
         answer = server.rejected("not taken; trying again does no harm", retry_after_ms)
         self._answer(request, answer, AnswerKind.REJECTED)
@@ -398,7 +403,7 @@
         self._answer(request, server.failed("08007", "the effect is unknown"), AnswerKind.FAILED)
 
     def start_health_check(self, endpoint: str) -> None:
-        """Ask the endpoint for its load report."""
+        """Query the endpoint's load report."""
         started_us = self.now()
         exchange = Exchange(HealthCheck(endpoint, started_us, self._on_health_check_done))
         self._abandon_at(started_us + HEALTH_CHECK_TIMEOUT_US, exchange)
@@ -407,12 +412,12 @@
     def _on_health_check_done(self, check: HealthCheck, result: ExchangeResult) -> None:
         value = result.reply.value if result.reply is not None else None
         text = value.decode("utf-8", "replace") if value else None
-        report = self._facts.read_report(check.endpoint, text, check.started_us)
+        report = self._metadata_reader.read_report(check.endpoint, text, check.started_us)
         duration_us = self.now() - check.started_us
         self.enqueue(HealthCheckEnded(check.endpoint, result.outcome, duration_us, report))
 
     def subscribe(self, enabled: bool) -> None:
-        """Open a watch of the endpoint list, or end it."""
+        """Open or close a watch on the endpoint list."""
         self._discovery.subscribe(enabled)
 
     def fetch_endpoint_list(self) -> None:
@@ -420,16 +425,16 @@
         self._discovery.fetch()
 
     def log_message(self, message: str) -> None:
-        """Write a line of the router's to the log."""
+        """Log a message of the router."""
         self.log.info(message)
 
     def on_stall(self, late_us: int) -> None:
-        """Log that a timer of the router was processed late."""
+        """Log and count a router timer that was processed late."""
         self.counters.on_stall(late_us // 1000)
         self.log.warning("event loop stalled", late_ms=late_us // 1000)
 
     def on_policy_error(self, events: Sequence[Event], error: Exception) -> None:
-        """Answer the requests that the events are about."""
+        """Fail the requests that the events refer to."""
         self.log.error("policy raised on batch", exc_info=error)
         for event in events:
             request_id = event.id if isinstance(event, Request) else getattr(event, "request", None)
@@ -442,7 +447,7 @@
     # Discovery.
 
     def on_endpoint_update(self, kind: UpdateKind, endpoint_list: EndpointList | None) -> None:
-        """Apply a list, or report the end of a call that brought none (None)."""
+        """Apply an endpoint list, or report a discovery call that returned none (None)."""
         self.counters.lists[kind.value] += 1
         if endpoint_list is None:
             self.enqueue(EndpointUpdate(kind, ()))
@@ -452,20 +457,22 @@
             self.log.trace("list", kind=kind.value, version=endpoint_list.version, endpoints=readiness)
         self._endpoints.apply(endpoint_list)
         self.enqueue(
-            EndpointUpdate(kind, tuple(map(self._facts.with_start_on_own_clock, endpoint_list.endpoints)))
+            EndpointUpdate(
+                kind, tuple(map(self._metadata_reader.with_local_start_time, endpoint_list.endpoints))
+            )
         )
 
     # Shutdown.
 
     def begin_shutdown(self, waited_us: int = 0) -> None:
-        """Begin the graceful shutdown, asked for `waited_us` ago.
+        """Start the graceful shutdown, requested `waited_us` ago.
 
-        Deadlines are cut to the kill: what was accepted before SIGTERM may wait longer than the operators
-        wait with the kill.
+        Shortens the deadlines of open requests, which may lie beyond the time at which the platform kills the
+        process.
         """
         self.shutdown.begin(self.now() - waited_us)
         self.timers.call_at(self.shutdown.closing_starts_us(), _wake)
-        self.timers.call_at(self.shutdown.last_answers_us(), self._look_for_overdue_requests)
+        self.timers.call_at(self.shutdown.last_answers_us(), self._request_overdue_check)
         self.timers.call_at(self.shutdown.exit_us(), _wake)
         for request_id, request in self.requests.by_id.items():
             latest_us = self.shutdown.latest_answer_us(request.deadline_us)
@@ -475,20 +482,20 @@
                 for exchange in request.exchanges.values():
                     self._abandon_at(latest_us, exchange)
 
-    def check_nothing_is_owed(self) -> None:
-        """Have the rule monitor count what the end of the program leaves unanswered, or unsent."""
+    def report_unanswered(self) -> None:
+        """Report requests left unanswered and answers left unsent at exit to the rule monitor."""
         for client in self.client_listener.clients:
-            self.monitor.on_client_closed(client.unanswered_requests(), END_OF_PROGRAM)
+            self.monitor.on_client_closed(client.unanswered_requests(), PROCESS_EXIT_REASON)
             if client.unsent_answer_bytes:
-                self.monitor.on_answers_dropped(client.unsent_answer_bytes, END_OF_PROGRAM)
+                self.monitor.on_answers_dropped(client.unsent_answer_bytes, PROCESS_EXIT_REASON)
 
     @property
     def is_idle(self) -> bool:
-        """No client is connected and no request is open."""
+        """Whether no client is connected and no request is open."""
         return not self.client_listener.clients and not any(
             request.command for request in self.requests.by_id.values()
         )
 
 
 def _wake() -> None:
-    """Do nothing: the timer only gives the driver its turn."""
+    """Do nothing: the timer only wakes the event loop."""
--- a/juniperreel/platform/endpoint_connection.py
+++ b/juniperreel/platform/endpoint_connection.py
@@ -1,7 +1,6 @@
-"""One connection to an endpoint, and the exchange on it.
+"""One connection to an endpoint, carrying one exchange at a time.
 
-Of an attempt that was cut short, only one that certainly left the endpoint untouched is reported as never
-executed.
+An interrupted attempt is reported as never executed only if the endpoint cannot have executed it.
 """
 
 from __future__ import annotations
@@ -19,17 +18,17 @@
 
 USER = "worker"
 DATABASE = "catalog"
-# A connection that ends so soon after the query, without a byte of a reply, was broken before it.
+# A connection that ends this soon after the query without any reply was already broken while idle.
 BROKEN_WHILE_IDLE_US = 50_000
 
 
 class EndpointConnection:
-    """Carries one exchange at a time, and never repeats one. The protocol of its transport."""
+    """Protocol of an endpoint's transport. Carries one exchange at a time and never retries it."""
 
     eof_is_disconnect = False
 
     def __init__(self, pool: EndpointPool, transport: Transport) -> None:
-        """Take over a transport that is connecting."""
+        """Attach to a transport that is connecting."""
         self.pool = pool
         self.transport = transport
         self.protocol = ClientConnection(USER, DATABASE)
@@ -46,7 +45,7 @@
         self.transport.write(self.protocol.startup_message)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes to the protocol, and finish the exchange when its reply is complete."""
+        """Feed the protocol, and finish the exchange when its reply is complete."""
         try:
             reply = self.protocol.receive_data(data)
         except ProtocolError:
@@ -61,10 +60,10 @@
                 exchange.finish(outcome_of(reply), reply)
         elif self.protocol.phase is Phase.IDLE:
             self._on_logged_in(exchange)
-        # Otherwise the reply is not complete yet.
+        # Otherwise the reply is still incomplete.
 
     def connection_lost(self, _reason: str) -> None:
-        """Finish the exchange by what had been sent and received."""
+        """Finish the exchange with the outcome that follows from what was sent and received."""
         exchange = self.exchange
         self.exchange = None
         was_sent = self._was_sent(exchange)
@@ -77,14 +76,14 @@
         if not was_sent:
             exchange.finish(Outcome.UNREACHABLE)
         elif reply.error is not None:
-            exchange.finish(outcome_of(reply), reply)  # an error needs no ReadyForQuery behind it
+            exchange.finish(outcome_of(reply), reply)  # an error is final without ReadyForQuery
         else:
             exchange.finish(Outcome.RESET, reply)
 
     # Called by the pool.
 
     def start(self, exchange: Exchange) -> None:
-        """Write the query on an idle connection, if it is still awaited."""
+        """Write the query on an idle connection if its reply is still awaited."""
         self.exchange = exchange
         exchange.connection = self
         if not self.protocol.is_reusable:
@@ -95,7 +94,7 @@
         query = owner.build_query()
         self._query_sent_us = self.pool.now()
         if not owner.is_awaited():
-            self._keep_unused(exchange)
+            self._release_unused(exchange)
             return
         self._idle_before_query_us = self._query_sent_us - self.idle_since_us if self.idle_since_us else None
         self.transport.write(self.protocol.send_query(query))
@@ -103,9 +102,9 @@
         exchange.sent = not self.transport.write_buffer_size
 
     def abandon(self, exchange: Exchange, cancelled: bool) -> None:
-        """Wait no longer for the reply, because the attempt is `cancelled` or its time is up.
+        """Stop waiting for the reply because the attempt was `cancelled` or timed out.
 
-        The connection is closed, unless nothing was written on it.
+        The connection is closed unless nothing was written on it.
         """
         if exchange.finished:
             return
@@ -117,53 +116,53 @@
             if reply is not None and reply.error is not None:
                 exchange.finish(outcome_of(reply), reply)
                 return
-        # The reply is passed on although it is incomplete: it may have reported a new role, or a commit.
+        # The partial reply is reported, too: it may contain a role change or a commit position.
         if cancelled:
             exchange.finish(Outcome.CANCELLED if was_sent else Outcome.NOT_SENT, reply)
         else:
             exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.UNREACHABLE, reply)
 
     def withdraw_unsent(self, exchange: Exchange) -> bool:
-        """Close the connection if the query has left in part only: its rest must not follow."""
+        """Close the connection if the query was sent only in part, so that the rest is never sent."""
         if self.protocol.phase is not Phase.BUSY or self.exchange is not exchange or self._was_sent(exchange):
             return False
         self.abandon(exchange, cancelled=True)
         return True
 
     def close(self) -> None:
-        """Close the connection and take it out of its pool."""
+        """Close the connection and remove it from its pool."""
         self.transport.close()
         self.pool.remove(self)
 
     def close_unless_logged_in(self) -> None:
-        """Give up a connection that is not established and welcomed within the time for connecting."""
+        """Close the connection if its startup has not completed within the connect timeout."""
         if self.protocol.phase is Phase.STARTUP and not self.transport.closed:
-            self.connection_lost("no welcome in time")
+            self.connection_lost("startup timed out")
 
     def is_usable(self) -> bool:
-        """Return whether the idle connection is open and nothing has arrived on it unasked."""
+        """Return whether the idle connection is open and has received no unsolicited data."""
         return self.transport.has_nothing_to_read() and self.protocol.is_reusable
 
-    # Internal steps.
+    # Helpers.
 
     def _on_logged_in(self, exchange: Exchange | None) -> None:
         if exchange is None:
             self._release(reusable=True)
         elif not exchange.may_send():
-            self._keep_unused(exchange)
+            self._release_unused(exchange)
         elif not exchange.sent:
             self.start(exchange)
 
-    def _keep_unused(self, exchange: Exchange) -> None:
+    def _release_unused(self, exchange: Exchange) -> None:
         self.exchange = None
         self._release(reusable=True)
         exchange.finish(Outcome.NOT_SENT)
 
     def _release(self, reusable: bool) -> None:
-        """Give the connection back to the pool, or close it.
+        """Return the connection to the pool, or close it.
 
-        What arrived behind a reply would be taken for the reply of the next query, so a connection with
-        unread bytes is closed.
+        Bytes that follow a reply would be parsed as the reply to the next query, so a connection with unread
+        bytes is closed.
         """
         if reusable and self.protocol.is_reusable and self.transport.has_nothing_to_read():
             self.pool.release(self)
@@ -171,7 +170,7 @@
             self.close()
 
     def _fail_protocol(self) -> None:
-        """Close the connection on which the endpoint broke the protocol."""
+        """Close the connection after a protocol violation by the endpoint."""
         exchange = self.exchange
         self.exchange = None
         was_sent = self._was_sent(exchange)
@@ -181,8 +180,8 @@
         if exchange is None:
             return
         if was_sent:
-            # Not RESET, as the endpoint did answer: malformed replies of all endpoints alike would get one
-            # after the other ejected for not responding.
+            # Not RESET, as the endpoint did answer: if all endpoints sent malformed replies, they would be
+            # ejected one after the other as unresponsive.
             exchange.finish(Outcome.ERROR)
         else:
             exchange.finish(Outcome.REJECTED if was_rejected else Outcome.UNREACHABLE)
@@ -195,9 +194,9 @@
         return self.pool.now() - self._query_sent_us
 
     def _was_sent(self, exchange: Exchange | None) -> bool:
-        """Return whether the query's last byte has left.
+        """Return whether the query's last byte has been sent.
 
-        A long value leaves in parts, the last of them from the poller, so the buffer is looked at again.
+        Long queries are sent in several writes, the last of them by the poller, so the buffer is rechecked.
         """
         if exchange is None:
             return False
--- a/juniperreel/platform/endpoint_list.py
+++ b/juniperreel/platform/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Reads the endpoint list of discovery into the router's types. Free of I/O.
+"""Parses discovery's endpoint list into the router's types. Performs no I/O.
 
-Lines that can't be read are counted and omitted.
+Entries that cannot be parsed are counted and skipped.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 CAPACITY_LIMIT = 1e6
 STARTED_LIMIT_MS = 1e14
 
-Address = tuple[str, int]  # host and port, as `socket` has it
+Address = tuple[str, int]  # host and port, as in the `socket` module
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A list as discovery sent it, or the changes since an earlier one.
+    """A snapshot of the endpoint list, or a delta to an earlier version.
 
-    `complete` says that endpoints not named here are gone; `addresses` holds those of the endpoints that were
-    listed with one.
+    `complete` marks a snapshot: endpoints missing from it are gone. `addresses` holds the addresses of the
+    endpoints that were listed with one.
     """
 
     version: int
@@ -43,24 +43,24 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One line of the list."""
+    """One entry of the list."""
 
     endpoint: Endpoint
     address: Address | None
 
 
 def read_endpoint_list(raw: Any, zones: list[str], machine_types: list[str]) -> EndpointList:
-    """Read decoded JSON. `zones` and `machine_types` are names in the order of the settings.
+    """Parse decoded JSON. `zones` and `machine_types` are names in the order of the settings.
 
-    Raises EndpointListError for what is no list at all.
+    Raises EndpointListError if `raw` is not an endpoint list.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
-        raise EndpointListError("no hosts")
+        raise EndpointListError("hosts is missing or not a list")
     version = raw.get("seq")
     if not isinstance(version, int) or isinstance(version, bool) or version < 0:
-        raise EndpointListError("no seq")
+        raise EndpointListError("seq is missing or not a non-negative integer")
     if not isinstance(raw.get("whole"), bool) or len(raw["hosts"]) > MAX_LINES:
-        raise EndpointListError("whole is missing, or the list is too long")
+        raise EndpointListError("whole is missing, or the list has too many entries")
     endpoints: list[Endpoint] = []
     addresses: dict[str, Address] = {}
     unreadable_lines = 0
@@ -74,9 +74,9 @@
         if address is not None:
             addresses[endpoint.id] = address
     if raw["whole"] and not endpoints:
-        # An empty fleet is far more often a broken list than a true one, and believing it would leave the
-        # driver without endpoints.
-        raise EndpointListError("the whole list is empty")
+        # An empty snapshot is far more likely a discovery fault than an empty fleet, and applying it would
+        # leave the driver without endpoints.
+        raise EndpointListError("complete list without a readable entry")
     return EndpointList(version, raw["whole"], tuple(endpoints), addresses, unreadable_lines)
 
 
--- a/juniperreel/platform/endpoint_pools.py
+++ b/juniperreel/platform/endpoint_pools.py
@@ -1,4 +1,4 @@
-"""Pools of connections to endpoints, one pool an endpoint. The connection used last is used first."""
+"""Connection pools, one per endpoint. Idle connections are reused in last-in, first-out order."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from juniperreel.platform.timer_queue import TimerQueue
 from juniperreel.routing.types import Outcome
 
-# Of the time after which an endpoint closes an idle connection; the rest is for the interval between two
-# calls of `close_idle` and for the way to the endpoint.
+# Fraction of the endpoint's own idle timeout after which an idle connection is closed here. The remainder
+# covers the interval between two calls of `close_idle` and the network delay to the endpoint.
 IDLE_TIMEOUT_FRACTION = 0.9
 
 
 class Connect(Protocol):
-    """Begins to open a connection."""
+    """Starts opening a connection."""
 
     def __call__(self, host: str, port: int, /) -> Transport:
-        """Return the transport. Raises OSError where not even a socket can be had."""
+        """Return the transport. Raises OSError if no socket can be created."""
         ...
 
 
@@ -54,8 +54,8 @@
         self._open(exchange)
 
     def _open(self, exchange: Exchange) -> None:
-        # This process has no descriptor left, or no other resource, which says nothing of the endpoint.
-        if not self._pools.free_descriptor():
+        # NOT_SENT rather than UNREACHABLE: a local resource shortage says nothing about the endpoint.
+        if not self._pools.ensure_free_descriptor():
             exchange.finish(Outcome.NOT_SENT)
             return
         try:
@@ -72,7 +72,7 @@
         self._pools.timers.call_at(timeout_at_us, connection.close_unless_logged_in)
 
     def release(self, connection: EndpointConnection) -> None:
-        """Keep a connection whose exchange has ended for the next one."""
+        """Return a connection whose exchange has ended to the pool."""
         if self.retired:
             connection.close()
             return
@@ -80,11 +80,11 @@
         self.idle.append(connection)
 
     def record_idle_use(self, idle_us: int, answered: bool) -> None:
-        """Count the use of a connection that had been idle for so long."""
+        """Record whether a request on a connection idle for `idle_us` was answered."""
         self._pools.idle_timeout.record_use(self.now(), idle_us, answered)
 
     def remove(self, connection: EndpointConnection) -> None:
-        """Forget a connection that was closed; does nothing for one that is not of this pool."""
+        """Remove a closed connection; does nothing if it does not belong to this pool."""
         if connection in self.connections:
             self.connections.discard(connection)
             self._pools.budget.endpoint_connections -= 1
@@ -92,7 +92,7 @@
                 self.idle.remove(connection)
 
     def retire(self) -> None:
-        """Use the pool no more: close idle connections now, and the others after their exchanges."""
+        """Retire the pool: close idle connections now, and busy ones after their exchanges."""
         self.retired = True
         for connection in list(self.idle):
             connection.close()
@@ -110,7 +110,7 @@
         connect_timeout_us: int,
         endpoint_idle_timeout_us: int,
     ) -> None:
-        """`endpoint_idle_timeout_us`: after which an endpoint closes an idle connection, at the latest."""
+        """`endpoint_idle_timeout_us` is the longest time an endpoint keeps an idle connection open."""
         self.connect = connect
         self.now = now
         self.timers = timers
@@ -121,7 +121,7 @@
         self.pools: dict[str, EndpointPool] = {}
 
     def set_address(self, endpoint: str, address: Address) -> None:
-        """Use this address from now on. Connections to an earlier one are closed when they are idle."""
+        """Set the endpoint's address. Connections to its previous address are closed once idle."""
         pool = self.pools.get(endpoint)
         if pool is not None and pool.address == address:
             pool.retired = False
@@ -131,7 +131,7 @@
         self.pools[endpoint] = EndpointPool(self, address)
 
     def retire(self, endpoint: str) -> None:
-        """Use the endpoint no more, until its address is set again."""
+        """Retire the endpoint's pool until its address is set again."""
         pool = self.pools.get(endpoint)
         if pool is not None:
             pool.retire()
@@ -145,19 +145,19 @@
         pool.run(exchange)
 
     def abandon(self, exchange: Exchange, cancelled: bool) -> None:
-        """Wait no longer for the exchange, because the attempt is `cancelled` or its time is up."""
+        """Abandon the exchange because the attempt was `cancelled` or timed out."""
         if exchange.connection is not None:
             exchange.connection.abandon(exchange, cancelled)
 
     def withdraw_unsent(self, exchange: Exchange) -> bool:
-        """Stop the exchange if its query has left in part only, so that it is never executed."""
+        """Abort the exchange if its query was sent only in part, so that it is never executed."""
         return exchange.connection is not None and exchange.connection.withdraw_unsent(exchange)
 
-    def free_descriptor(self) -> bool:
-        """Return whether another connection may be opened; close an idle one for it where that is needed.
+    def ensure_free_descriptor(self) -> bool:
+        """Return whether another connection may be opened, closing the longest idle one if necessary.
 
-        Idle connections to some endpoints must not keep another one from being reached, nor busy ones take
-        the descriptors of clients and of discovery.
+        Idle connections to some endpoints must not prevent connections to others, and busy ones must not
+        use up the descriptors reserved for clients and discovery.
         """
         if not self.budget.endpoints_full:
             return True
@@ -168,10 +168,10 @@
         return True
 
     def close_idle(self, forget_retired: bool) -> None:
-        """Close what has been idle long, as the endpoint soon closes it, and a request written then is lost.
+        """Close connections that the endpoint is about to close itself; a request written then is lost.
 
-        `forget_retired` drops retired pools with their last connection: endpoints are replaced all day, and
-        their pools would accumulate. One that returns gets a new pool.
+        `forget_retired` drops retired pools that have no connection left. Endpoints are replaced
+        continuously, so their pools would otherwise accumulate; one that returns gets a new pool.
         """
         max_idle_us = min(self._max_idle_us, self.idle_timeout.limit_ms * 1000)
         idle_before_us = self.now() - max_idle_us
--- a/juniperreel/platform/endpoint_source.py
+++ b/juniperreel/platform/endpoint_source.py
@@ -1,4 +1,4 @@
-"""What the driver needs of whoever tells it of endpoints."""
+"""Interface between the driver and its source of endpoint lists."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class EndpointSource(Protocol):
-    """What the driver needs of discovery."""
+    """Discovery operations used by the driver."""
 
     def subscribe(self, enabled: bool) -> None:
-        """Open a watch of the endpoint list, or end it."""
+        """Open or close a watch on the endpoint list."""
         ...
 
     def fetch(self) -> None:
--- a/juniperreel/platform/errors.py
+++ b/juniperreel/platform/errors.py
@@ -4,17 +4,17 @@
 
 
 class PlatformError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors raised by this package."""
 
 
 class ConfigError(PlatformError):
-    """The file is not a valid configuration; the message says where."""
+    """The configuration file is invalid; the message says why."""
 
 
 class InvalidRequestError(PlatformError):
-    """A client's request is rejected for a fault of its own.
+    """A client's request is invalid.
 
-    `sqlstate` is the code and `message` the text that the client is sent.
+    `sqlstate` and `message` are sent to the client.
     """
 
     def __init__(self, sqlstate: str, message: str) -> None:
@@ -24,8 +24,8 @@
 
 
 class DiscoveryCallError(PlatformError):
-    """A call to discovery brought no endpoint list; the message says why."""
+    """A call to discovery returned no endpoint list; the message says why."""
 
 
 class EndpointListError(PlatformError):
-    """The response of discovery is no endpoint list; the message says why."""
+    """The response of discovery is not a valid endpoint list; the message says why."""
--- a/juniperreel/platform/exchange.py
+++ b/juniperreel/platform/exchange.py
@@ -11,39 +11,39 @@
 if TYPE_CHECKING:
     from juniperreel.platform.endpoint_connection import EndpointConnection
 
-INELIGIBLE_SQLSTATES = ("25006", "72000")  # a write, and this is no primary; too far behind
+INELIGIBLE_SQLSTATES = ("25006", "72000")  # write on a replica; replica too far behind
 REJECTED_SQLSTATES = ("53300", "57P03")
 
 
 @dataclass(slots=True)
 class ExchangeResult:
-    """How an exchange ended. `reply` is what arrived, where anything did."""
+    """How an exchange ended. `reply` is the reply received, possibly partial, or None."""
 
     outcome: Outcome
     reply: Reply | None
 
 
 class ExchangeOwner(Protocol):
-    """What a query is for. Asked in this order before it is written, and told what becomes of it."""
+    """The initiator of a query. The methods are called in this order."""
 
     def may_send(self) -> bool:
-        """Return whether the query still fits, now that a connection is there for it."""
+        """Return whether the query is still valid, now that a connection is available."""
         ...
 
     def build_query(self) -> bytes:
-        """Return the text, which states the time that is left now."""
+        """Return the query text, which contains the time remaining now."""
         ...
 
     def is_awaited(self) -> bool:
-        """Return whether the reply is still awaited; asked last, as reading the clock may take a while."""
+        """Return whether the reply is still awaited; checked last, as reading the clock may be delayed."""
         ...
 
     def on_written(self) -> None:
-        """The query was handed to the connection."""
+        """Handle that the query was passed to the connection."""
         ...
 
     def on_done(self, result: ExchangeResult) -> None:
-        """The exchange has ended; called exactly once."""
+        """Handle the end of the exchange; called exactly once."""
         ...
 
 
@@ -51,9 +51,9 @@
 class Exchange:
     """A query on its way through a pool and a connection.
 
-    A query that its owner refuses is not written. `sent`: the last byte has left, so that the endpoint may
-    have executed it. `owner` is None once the exchange is finished: timers that outlive it must not keep a
-    request's text in memory until they are due.
+    A query that its owner refuses is not written. `sent`: the last byte has been sent, so the endpoint may
+    have executed it. `owner` is None once the exchange is finished, so that timers that outlive it do not
+    keep the request's text in memory.
     """
 
     owner: ExchangeOwner | None
@@ -66,11 +66,11 @@
         return self.owner is None
 
     def may_send(self) -> bool:
-        """Return whether the query still fits."""
+        """Return whether the query is still valid."""
         return self.owner is not None and self.owner.may_send()
 
     def finish(self, outcome: Outcome, reply: Reply | None = None) -> None:
-        """Report the result; does nothing when one was reported before."""
+        """Report the result; only the first call has an effect."""
         owner = self.owner
         if owner is not None:
             self.owner = None
@@ -78,7 +78,7 @@
 
 
 def outcome_of(reply: Reply) -> Outcome:
-    """Classify a complete reply by the operators' table of SQLSTATEs."""
+    """Classify a complete reply by the platform's table of SQLSTATEs."""
     if reply.error is None:
         return Outcome.OK
     sqlstate = reply.error.get("C", "")
--- a/juniperreel/platform/health_check.py
+++ b/juniperreel/platform/health_check.py
@@ -1,4 +1,4 @@
-"""A health check: a query for an endpoint's load report, which belongs to no request."""
+"""Health checks: queries for an endpoint's load report, independent of client requests."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     __slots__ = ("_on_done", "endpoint", "started_us")
 
     def __init__(self, endpoint: str, started_us: int, on_done: OnHealthCheckDone) -> None:
-        """`on_done` is told the result."""
+        """`on_done` receives the result."""
         self.endpoint = endpoint
         self.started_us = started_us
         self._on_done = on_done
 
     def may_send(self) -> bool:
-        """Return True: it has no effect, and was decided on a moment ago."""
+        """Return True: a health check has no side effects and does not become invalid."""
         return True
 
     def build_query(self) -> bytes:
@@ -31,12 +31,12 @@
         return LOAD_REPORT_QUERY
 
     def is_awaited(self) -> bool:
-        """Return True: the driver itself waits for it."""
+        """Return True: the driver itself waits for the reply."""
         return True
 
     def on_written(self) -> None:
         """Do nothing."""
 
     def on_done(self, result: ExchangeResult) -> None:
-        """Tell whoever started it."""
+        """Report the result."""
         self._on_done(self, result)
--- a/juniperreel/platform/log.py
+++ b/juniperreel/platform/log.py
@@ -1,7 +1,7 @@
-"""Log lines of the platform's driver: JSON objects on standard error, as `telemetry.log` writes them.
+"""Structured logging for the platform's driver: JSON lines on standard error, as in `telemetry.log`.
 
-structlog takes a fifth of this program's start (0.1 s of 0.5 s on the maintainers' machine) to load, and a
-driver that restarts serves nobody meanwhile; what it would be used for here is this much.
+Used instead of structlog, whose import takes 0.1 s of the 0.5 s start-up time (measured on the maintainers'
+machine). A restarting driver serves no requests until it has started.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class Log:
-    """A logger whose methods take an event and fields that JSON can hold."""
+    """A logger whose methods take an event name and JSON-serializable fields."""
 
     def __init__(self, stream: TextIO | None = None, tracing: bool = False) -> None:
-        """Write to `stream`, or to standard error. `tracing`: write what `trace` is called with, too."""
+        """Write to `stream`, by default standard error. `tracing` enables `trace`."""
         self.tracing = tracing
         self._stream = stream or sys.stderr
         self.lost_lines = 0
 
     def trace(self, event: str, **fields: object) -> None:
-        """Log one step of one request, where that was asked for; callers look at `tracing` first."""
+        """Log one step of a request if tracing is enabled. Callers check `tracing` first to save the cost."""
         if self.tracing:
             self._write("trace", event, fields)
 
     def info(self, event: str, **fields: object) -> None:
-        """Log something expected."""
+        """Log an expected event."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log a fault that the driver handles by itself."""
+        """Log a fault that the driver recovers from by itself."""
         self._write("warning", event, fields)
 
     def error(self, event: str, exc_info: BaseException | None = None, **fields: object) -> None:
-        """Log a fault that needs somebody's attention, with the traceback of `exc_info`."""
+        """Log a fault that needs attention, with the traceback of `exc_info`."""
         if exc_info is not None:
             fields["exception"] = "".join(traceback.format_exception(exc_info))
         self._write("error", event, fields)
@@ -51,4 +51,4 @@
             self._stream.write(msgspec.json.encode(line).decode() + "\n")
             self._stream.flush()
         except (OSError, ValueError):
-            self.lost_lines += 1  # a reader of the log that is gone must not end the program
+            self.lost_lines += 1  # a closed log stream must not terminate the process
--- a/juniperreel/platform/open_requests.py
+++ b/juniperreel/platform/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open, and the ids of those answered lately."""
+"""Open requests, and the ids of recently answered ones."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 class OpenRequest:
     """A request from its submission until it is answered and its last exchange has ended.
 
-    `command` is None once it is answered, or its client is gone. `exchanges` are those of its attempts that
-    have not ended, by their number.
+    `command` is None once the request is answered or its client has disconnected. `exchanges` holds the
+    exchanges that have not ended, by attempt number.
     """
 
-    __slots__ = ("attempt_count", "command", "deadline_us", "exchanges", "form", "record")
+    __slots__ = ("attempt_count", "command", "deadline_us", "exchanges", "record", "statement")
 
     def __init__(
-        self, form: StatementRequest, command: Command, deadline_us: int, record: RequestRecord
+        self, statement: StatementRequest, command: Command, deadline_us: int, record: RequestRecord
     ) -> None:
-        """Open a request without attempts; `record` is what the rule monitor keeps of it."""
+        """`record` is the rule monitor's record of the request."""
         self.record = record
-        self.form = form
+        self.statement = statement
         self.deadline_us = deadline_us
         self.command: Command | None = command
         self.attempt_count = 0
@@ -38,19 +38,19 @@
     """All open requests by id."""
 
     def __init__(self, now: Callable[[], int]) -> None:
-        """Start without requests. `now` reads the clock."""
+        """`now` returns the current time in microseconds."""
         self._now = now
         self.by_id: dict[str, OpenRequest] = {}
-        self.answered_us: dict[str, int] = {}  # when recently answered ids were answered, oldest first
+        self.answered_us: dict[str, int] = {}  # answer times of recently answered ids, oldest first
 
     def is_id_in_use(self, request_id: str) -> bool:
-        """Return whether the id is of an open request, or of one answered lately."""
+        """Return whether the id belongs to an open or recently answered request."""
         return request_id in self.by_id or request_id in self.answered_us
 
     def remove_if_done(self, request_id: str, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no exchange left; keep its id for a while.
+        """Remove a request that is answered and has no exchange left, but keep its id for a while.
 
-        Without that, whoever sends the id of a request that was just answered would have it executed again.
+        Otherwise a request that reuses the id of a recently answered one would be executed again.
         """
         if request.command is not None or request.exchanges:
             return
--- a/juniperreel/platform/parameter_status.py
+++ b/juniperreel/platform/parameter_status.py
@@ -1,7 +1,7 @@
-"""Reads what an endpoint reports beside its answer: role, applied position and load.
+"""Parses an endpoint's reported role, applied position and load.
 
-They arrive as ParameterStatus messages, and the load report also as the answer of a health check. A value
-that can't be read is left out; it is never an error.
+They arrive as ParameterStatus messages; the load report is also the answer to a health check. Values that
+cannot be parsed are omitted and never raise an error.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 def role(parameters: dict[str, str]) -> Role:
-    """Return the role that the endpoint reports."""
+    """Return the reported role."""
     return ROLES.get(parameters.get("replication_role", ""), Role.UNKNOWN)
 
 
 def position_us(parameters: dict[str, str]) -> int | None:
-    """Return the applied position, or None where there is none that can be read.
+    """Return the applied position, or None if it is missing or malformed.
 
-    It arrives in Unix milliseconds, which the endpoint has already rounded to the safe side.
+    Endpoints report it in Unix milliseconds, already rounded to the safe side.
     """
     text = parameters.get("log_position", "")
     if not (text.isascii() and text.isdigit()) or len(text) > POSITION_MAX_DIGITS:
@@ -36,9 +36,9 @@
 
 
 def load_report(text: str | None) -> LoadReport | None:
-    """Read a load report, `name=value` pairs of which `x0`, the position, is in Unix seconds.
+    """Parse a load report of `name=value` pairs; `x0` is the position in Unix seconds.
 
-    Returns None where there is none, or any of its pairs can't be read.
+    Returns None if there is no report or any of its pairs is malformed.
     """
     if not text or len(text) > LOAD_REPORT_MAX_LENGTH:
         return None
--- a/juniperreel/platform/program.py
+++ b/juniperreel/platform/program.py
@@ -1,4 +1,4 @@
-"""The parts of one run tied together: poller, discovery, driver and the listening socket."""
+"""Assembles poller, discovery client, driver and listening socket, and runs the event loop."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     def __init__(
         self, config: Config, config_path: Path, log: Log, signals: SignalQueue | None = None
     ) -> None:
-        """Create all parts; nothing is listened on yet. Needs a running trio.
+        """Create all components without listening yet. Requires a running trio event loop.
 
-        `signals`, where there are any, must wake `poller` when one arrives.
+        `signals`, if given, must wake `poller` when a signal arrives.
         """
         self._signals = signals or SignalQueue()
         self.config = config
@@ -75,13 +75,13 @@
         self.poller.wake()
 
     def start(self) -> None:
-        """Listen and use the cached endpoint list. Raises OSError where the address can't be had."""
+        """Start listening and apply the cached endpoint list. Raises OSError if the bind fails."""
         host, port = self.config.listen
         self.acceptor = Acceptor(self.poller, host, port, self._on_accepted)
         self.driver.on_endpoint_update(UpdateKind.CACHED, self._read_cached_list())
         self.driver.process_pending()
         if not self.config.router.must_poll:
-            # Where lists are pushed, what the operators' agent has counts as notified from the first moment.
+            # In push mode, changes known to the platform's agent count as notified from the start.
             self.discovery.subscribe(True)
         limits = self.config.limits
         self.log.info(
@@ -112,14 +112,14 @@
             self._handle_signals()
             if driver.shutdown.started and self._shutdown_is_complete():
                 break
-            await self._take_turn(driver.next_due_us())
-        # Once more without waiting: a hold-up may have come between the last answers and their leaving.
-        await self._take_turn(self.clock.now_us())
-        driver.check_nothing_is_owed()
+            await self._run_once(driver.next_due_us())
+        # Once more without waiting: the process may have been suspended before the last answers were sent.
+        await self._run_once(self.clock.now_us())
+        driver.report_unanswered()
         self._log_counts("shutdown complete")
 
-    async def _take_turn(self, until_us: int | None) -> None:
-        """Wait until then for sockets that are ready, and do all that is due."""
+    async def _run_once(self, until_us: int | None) -> None:
+        """Wait for ready sockets until `until_us`, then perform all work that is due."""
         retry_us = self.acceptor.retry_due_us() if self.acceptor is not None else None
         if retry_us is not None:
             until_us = retry_us if until_us is None else min(until_us, retry_us)
@@ -133,7 +133,7 @@
             self.acceptor.retry(self.clock.now_us())
 
     def _shutdown_is_complete(self) -> bool:
-        """Close what is to be closed by now; return whether nothing is left to wait for."""
+        """Perform the shutdown steps that are due; return whether the shutdown is complete."""
         driver = self.driver
         now_us = self.clock.now_us()
         if not driver.shutdown.closes_connections(now_us):
@@ -154,7 +154,7 @@
                 self.begin_shutdown(arrived.waited_us)
 
     def begin_shutdown(self, waited_us: int = 0) -> None:
-        """Begin the graceful shutdown, asked for `waited_us` ago; a second call changes nothing."""
+        """Start the graceful shutdown, requested `waited_us` ago. Only the first call has an effect."""
         if self.driver.shutdown.started:
             return
         self.log.info(
@@ -167,10 +167,9 @@
         self.driver.process_pending()
 
     def reload(self) -> None:
-        """Read the configuration file again and use its discovery address.
+        """Reload the configuration file and switch to its discovery address.
 
-        A file that is half written, or wrong, changes nothing: it must neither end the driver nor apply in
-        parts. It is read again for a while.
+        An incomplete or invalid file changes nothing and is read again for a limited time.
         """
         self._reload.start()
 
@@ -181,7 +180,7 @@
         self.discovery.change_address(config.discovery)
 
     async def log_status(self) -> None:
-        """Write a line to the log at intervals, until cancelled."""
+        """Log a status line periodically until cancelled."""
         while True:
             await trio.sleep(STATUS_INTERVAL_S)
             self._log_counts("status")
--- a/juniperreel/platform/request_validation.py
+++ b/juniperreel/platform/request_validation.py
@@ -1,4 +1,4 @@
-"""Checks a client's request against the settings: its class and its tenant."""
+"""Validates the class and tenant of a client's request against the settings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ValidatedRequest(NamedTuple):
-    """The class and the tenant of a request, as the settings number them."""
+    """The class and tenant of a request, with their indexes in the settings."""
 
     class_index: int
     request_class: RequestClass
@@ -18,29 +18,29 @@
 
 
 class RequestValidator:
-    """Looks up the names of classes and tenants."""
+    """Looks up class and tenant names."""
 
     def __init__(self, settings: Settings) -> None:
-        """Index the names of the settings."""
+        """Build the indexes of class and tenant names."""
         self._classes = settings.classes
         self._class_indexes = {item.name: i for i, item in enumerate(settings.classes)}
         self._tenant_indexes = {item.name: i for i, item in enumerate(settings.tenants)}
 
-    def validate(self, form: StatementRequest) -> ValidatedRequest:
-        """Return what the request names. Raises InvalidRequestError."""
-        class_index = self._class_indexes.get(form.class_name)
+    def validate(self, statement: StatementRequest) -> ValidatedRequest:
+        """Return the request's class and tenant. Raises InvalidRequestError."""
+        class_index = self._class_indexes.get(statement.class_name)
         if class_index is None:
             raise InvalidRequestError("42704", "no such class")
         request_class = self._classes[class_index]
-        tenant_index = self._find_tenant(form.tenant)
-        if form.is_write != (request_class.consistency is Consistency.WRITE):
+        tenant_index = self._find_tenant(statement.tenant)
+        if statement.is_write != (request_class.consistency is Consistency.WRITE):
             raise InvalidRequestError("42501", "the class does not go with the statement")
-        if request_class.idempotency is Idempotency.KEYED and form.idempotency_key is None:
+        if request_class.idempotency is Idempotency.KEYED and statement.idempotency_key is None:
             raise InvalidRequestError("42601", "the class needs a key")
         return ValidatedRequest(class_index, request_class, tenant_index)
 
     def _find_tenant(self, name: str | None) -> int:
-        """Return the tenant's index; a request without one, or settings without any, count as the first."""
+        """Return the tenant's index, or 0 if the request names none or the settings have none."""
         if name is None or not self._tenant_indexes:
             return 0
         tenant_index = self._tenant_indexes.get(name)
--- a/juniperreel/platform/run.py
+++ b/juniperreel/platform/run.py
@@ -1,7 +1,7 @@
-"""The process: configuration, start, signals and exit codes.
+"""Process entry point: configuration, start-up, signals and exit codes.
 
-SIGHUP reloads the configuration file, SIGTERM shuts down gracefully. A start is tried again for a while where
-the system lacks resources for it.
+SIGHUP reloads the configuration file; SIGTERM starts a graceful shutdown. Start-up is retried for a limited
+time if the system temporarily lacks resources.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 
 EXIT_LISTEN_FAILED = 1
 EXIT_NO_CONFIGURATION = 2
-START_RETRY_S = 2.0  # how long a start is tried that fails in a way that may pass
-START_PAUSE_S = 0.05
-PASSING_ERRNOS = DESCRIPTOR_EXHAUSTION_ERRNOS | {errno.EIO, errno.EINTR, errno.EAGAIN, errno.EADDRNOTAVAIL}
-TRACE_VARIABLE = "JUNIPERREEL_TRACE"  # 1: each step of each request is logged
+START_RETRY_TIMEOUT_S = 2.0  # how long start-up is retried after transient errors
+START_RETRY_INTERVAL_S = 0.05
+TRANSIENT_ERRNOS = DESCRIPTOR_EXHAUSTION_ERRNOS | {errno.EIO, errno.EINTR, errno.EAGAIN, errno.EADDRNOTAVAIL}
+TRACE_VARIABLE = "JUNIPERREEL_TRACE"  # "1" logs each step of each request
 
 
 class Process:
-    """One process of the driver: an event loop, and the program in it once both could be had."""
+    """A driver process: creates the event loop and runs the program in it."""
 
     def __init__(self, config: Config, config_path: Path, log: Log, signals: SignalQueue) -> None:
-        """`signals` may hold some that arrived while modules were loading."""
+        """`signals` may contain signals that arrived while modules were loading."""
         self._config = config
         self._config_path = config_path
         self._log = log
@@ -42,18 +42,18 @@
         self._program: Program | None = None
 
     def run(self) -> int:
-        """Serve until shut down; return the exit code. Raises OSError where there is no event loop."""
-        give_up_at = time.monotonic() + START_RETRY_S
+        """Serve until shut down; return the exit code. Raises OSError if no event loop can be created."""
+        give_up_at = time.monotonic() + START_RETRY_TIMEOUT_S
         while True:
             try:
                 return trio.run(self._serve)
             except OSError as error:
-                # The event loop needs sockets and a poll of its own.
-                has_begun = self._program is not None
-                if has_begun or error.errno not in PASSING_ERRNOS or time.monotonic() > give_up_at:
+                # Creating the event loop needs sockets and an epoll descriptor, which may be unavailable.
+                has_started = self._program is not None
+                if has_started or error.errno not in TRANSIENT_ERRNOS or time.monotonic() > give_up_at:
                     raise
                 self._log.warning("event loop failed for now", error=str(error))
-            time.sleep(START_PAUSE_S)
+            time.sleep(START_RETRY_INTERVAL_S)
 
     async def _serve(self) -> int:
         program = Program(self._config, self._config_path, self._log, self._signals)
@@ -66,7 +66,7 @@
                 try:
                     await _start(program, self._log)
                 except OSError as error:
-                    nursery.cancel_scope.cancel()  # otherwise the nursery would wait for discovery forever
+                    nursery.cancel_scope.cancel()  # the discovery task never ends by itself
                     _log_failed_listen(self._log, error)
                     return EXIT_LISTEN_FAILED
                 nursery.start_soon(program.log_status)
@@ -80,16 +80,16 @@
 
 
 async def _start(program: Program, log: Log) -> None:
-    """Start to listen, again and again while the system has no resources for it. Raises OSError."""
-    with trio.move_on_after(START_RETRY_S):
+    """Start listening, retrying while the system lacks resources. Raises OSError."""
+    with trio.move_on_after(START_RETRY_TIMEOUT_S):
         while True:
             try:
                 program.start()
             except OSError as error:
-                if error.errno not in PASSING_ERRNOS:
+                if error.errno not in TRANSIENT_ERRNOS:
                     raise
                 log.warning("listen failed for now", error=str(error))
-                await trio.sleep(START_PAUSE_S)
+                await trio.sleep(START_RETRY_INTERVAL_S)
             else:
                 return
     program.start()
@@ -104,7 +104,7 @@
 
 
 def main(signals: SignalQueue) -> int:
-    """Run the driver whose configuration file `GW_CONFIG` names; return the exit code."""
+    """Run the driver with the configuration file named by `GW_CONFIG`; return the exit code."""
     log = Log(tracing=os.environ.get(TRACE_VARIABLE, "") == "1")
     path_name = os.environ.get("GW_CONFIG", "")
     try:
@@ -118,17 +118,17 @@
 
 
 def _read_config(path: Path, log: Log) -> Config:
-    """Read the file, again and again for a while where that fails in a way that may pass.
+    """Read the file, retrying transient failures for a limited time.
 
-    Raises OSError or ConfigError: it can't be read, or is wrong and stays so.
+    An invalid file counts as transient, as it may still be being written. Raises OSError or ConfigError.
     """
-    give_up_at = time.monotonic() + START_RETRY_S
+    give_up_at = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
             return parse_config(path.read_bytes())
         except (OSError, ConfigError) as error:
-            may_pass = isinstance(error, ConfigError) or error.errno in PASSING_ERRNOS
-            if not may_pass or time.monotonic() > give_up_at:
+            is_transient = isinstance(error, ConfigError) or error.errno in TRANSIENT_ERRNOS
+            if not is_transient or time.monotonic() > give_up_at:
                 raise
             log.warning("configuration not readable for now", error=str(error))
-            time.sleep(START_PAUSE_S)
+            time.sleep(START_RETRY_INTERVAL_S)
--- a/juniperreel/platform/signal_queue.py
+++ b/juniperreel/platform/signal_queue.py
@@ -1,7 +1,7 @@
-"""Signals with the times of their arrival: noted by the handlers, and handled by the event loop later.
+"""Queue of signals with their arrival times, filled by signal handlers and drained by the event loop.
 
-The operators count the time to the kill from the signal, however long its handling has to wait: modules may
-still be loading then, or listening be tried again.
+The platform measures the time to the kill from the signal, even if its handling is delayed while modules are
+loading or listening is retried.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 
 
 class ArrivedSignal(NamedTuple):
-    """A signal's number, and the monotonic time at which it arrived."""
+    """A signal number and its monotonic arrival time."""
 
     number: int
     arrived_s: float
 
     @property
     def waited_us(self) -> int:
-        """How long it has waited to be handled."""
+        """How long the signal has been waiting to be handled."""
         return int((time.monotonic() - self.arrived_s) * 1_000_000)
 
 
 class SignalQueue:
-    """The signals that are not handled yet, oldest first.
+    """Pending signals, oldest first.
 
-    `wake`, where it is set, is called from the signal handler and must be safe there.
+    `wake`, if set, is called from the signal handler and must be safe to call there.
     """
 
     def __init__(self) -> None:
-        """Start without signals."""
+        """Start empty."""
         self.wake: Callable[[], None] | None = None
         self._arrived: list[ArrivedSignal] = []
 
     def install(self, numbers: Sequence[int] = HANDLED_SIGNALS) -> None:
-        """Note these signals from now on, in place of what they do by default."""
+        """Install a handler that queues these signals instead of their default action."""
         for number in numbers:
             signal.signal(number, self._on_signal)
 
     def ignore(self, numbers: Sequence[int] = HANDLED_SIGNALS) -> None:
-        """Ignore these signals: a process that ends as it was told must not end by the next one."""
+        """Ignore these signals, so that an orderly exit is not interrupted by another one."""
         for number in numbers:
             signal.signal(number, signal.SIG_IGN)
 
--- a/tests/platform/test_endpoint_clock.py
+++ b/tests/platform/test_endpoint_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from juniperreel.platform.endpoint_clock import SAMPLES, EndpointClock
+from juniperreel.platform.endpoint_clock import SAMPLE_COUNT, EndpointClock
 from tests.platform.event_harness import MS, SEC, START_US
 
 HOUR_US = 3600 * SEC
@@ -48,7 +48,7 @@
 
 def test_old_positions_of_primaries_that_agree_show_a_clock_that_is_far_ahead() -> None:
     positions = Positions()
-    changes = [positions.tell(-HOUR_US, "pq"[n % 2]) for n in range(SAMPLES)]
+    changes = [positions.tell(-HOUR_US, "pq"[n % 2]) for n in range(SAMPLE_COUNT)]
     assert sum(changes) == pytest.approx(-HOUR_US, abs=100 * MS)
     # What is left is on the safe side: the clock is not behind.
     assert positions.clock.to_driver_us(positions.now_us - HOUR_US) <= positions.now_us
@@ -79,5 +79,5 @@
 def test_a_process_that_was_held_up_reads_old_answers_and_moves_no_clock() -> None:
     """Stopped for seconds, it finds the answers of all that it asked before."""
     positions = Positions()
-    for n in range(2 * SAMPLES):
+    for n in range(2 * SAMPLE_COUNT):
         assert positions.tell(0, "pq"[n % 2], held_up_us=4 * SEC) == 0
--- a/tests/platform/test_planted.py
+++ b/tests/platform/test_planted.py
@@ -101,7 +101,7 @@
 
 
 def client_not_looked_at_before_a_write(patch: Patch) -> None:
-    patch.setattr(ClientConnection, "has_left", lambda _: False)
+    patch.setattr(ClientConnection, "has_disconnected", lambda _: False)
 
 
 def window_not_asked_when_written(patch: Patch) -> None:
--- a/tests/platform/test_rule_monitor.py
+++ b/tests/platform/test_rule_monitor.py
@@ -164,7 +164,7 @@
 def test_a_driver_that_ends_with_an_open_request_is_found() -> None:
     harness = EventHarness()
     harness.client(write_text(ID))
-    harness.driver.check_nothing_is_owed()
+    harness.driver.report_unanswered()
     assert harness.driver.monitor.violations == {Rule.DROPPED: 1}
 
 
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -281,7 +281,7 @@
     with SocketHarness() as harness:
         await harness.learn_positions()
         await client_with_an_answer_leaving(harness)
-        harness.driver.check_nothing_is_owed()
+        harness.driver.report_unanswered()
         assert harness.driver.monitor.violations[Rule.DROPPED] == 1
 
 
