--- a/tests/platform/event_harness.py
+++ b/tests/platform/event_harness.py
@@ -1,4 +1,4 @@
-"""A driver on a manual clock, with transports that only record: for tests without sockets."""
+"""A driver with a manual clock and recording transports, for tests without sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 MS, SEC = 1_000, 1_000_000
 START_US = 1_767_225_600 * SEC
-HELLO = m.startup("worker", "catalog")
+STARTUP_MESSAGE = m.startup("worker", "catalog")
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -71,15 +71,15 @@
 }
 
 
-def entry(name: str, port: int, **changes: Any) -> dict[str, Any]:
+def list_entry(name: str, port: int, **overrides: Any) -> dict[str, Any]:
     line = {"host": name, "dial": f"127.0.0.1:{port}", "site": "east", "class": "k", "block": 0}
-    return {**line, "health": "Ready", "share": 1.0, "born_ms": 0, **changes}
+    return {**line, "health": "Ready", "share": 1.0, "born_ms": 0, **overrides}
 
 
-HOSTS = [entry("p", 1001, replication="primary"), entry("a", 1002, replication="standby")]
+HOSTS = [list_entry("p", 1001, replication="primary"), list_entry("a", 1002, replication="standby")]
 
 
-def config_bytes(**changes: Any) -> bytes:
+def config_bytes(**overrides: Any) -> bytes:
     file = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -89,11 +89,11 @@
         "known": {"seq": 3, "whole": True, "hosts": HOSTS},
         "settings": SETTINGS,
     }
-    return json.dumps({**file, **changes}).encode()
+    return json.dumps({**file, **overrides}).encode()
 
 
 class FakeTransport(Transport):
-    """Records what is written on it; the test plays the other end through its protocol."""
+    """Records what is written to it; tests act as the peer through its protocol."""
 
     def __init__(self) -> None:
         self.protocol: Protocol | None = None
@@ -102,7 +102,7 @@
         self.eof_written = False
         self.has_unread = False
         self.sent = bytearray()
-        self.unsent_bytes = 0  # that the kernel does not take
+        self.unsent_bytes = 0  # bytes that the kernel does not accept
 
     @property
     def write_buffer_size(self) -> int:
@@ -137,30 +137,32 @@
         self.reading_paused = False
 
 
-def read_text(name: str, cls: str = "view", span: int = 800, key: str = "row-1", **more: Any) -> bytes:
+def read_query(name: str, cls: str = "view", timeout_ms: int = 800, key: str = "row-1", **more: Any) -> bytes:
     extra = "".join(f",{k}={v}" for k, v in more.items())
-    comment = f"id={name},c={cls},t=acme,d={span},cluster=0{extra}"
+    comment = f"id={name},c={cls},t=acme,d={timeout_ms},cluster=0{extra}"
     return f"SELECT body FROM objects WHERE oid = '{key}' /* {comment} */".encode()
 
 
-def write_text(name: str, span: int = 2000, key: str = "row-1") -> bytes:
-    comment = f"id={name},c=save,t=acme,d={span},k={name},cluster=0"
+def write_query(name: str, timeout_ms: int = 2000, key: str = "row-1") -> bytes:
+    comment = f"id={name},c=save,t=acme,d={timeout_ms},k={name},cluster=0"
     statement = f"INSERT INTO objects (oid, body) VALUES ('{key}', '\\x00') RETURNING body"
     return f"{statement} /* {comment} */".encode()
 
 
-def row(value: bytes = b"v", role: str = "standby", position: int | None = None, whole: bool = True) -> bytes:
-    """Not `whole`: it stops short of ReadyForQuery."""
+def row_reply(
+    value: bytes = b"v", role: str = "standby", position: int | None = None, complete: bool = True
+) -> bytes:
+    """Build the reply to a query; without `complete` it lacks ReadyForQuery."""
     described = m.message(b"T", b"\0\1body\0" + b"\0" * 16 + b"\0\1")
     data = m.message(b"D", b"\0\1" + len(value).to_bytes(4, "big") + value)
-    facts = m.parameter("replication_role", role)
+    parameters = m.parameter("replication_role", role)
     if position is not None:
-        facts += m.parameter("log_position", str(position))
-    return described + data + m.message(b"C", b"SELECT 1\0") + facts + (m.READY if whole else b"")
+        parameters += m.parameter("log_position", str(position))
+    return described + data + m.message(b"C", b"SELECT 1\0") + parameters + (m.READY if complete else b"")
 
 
 class FakeDiscovery:
-    """Notes what a driver wants of discovery."""
+    """Records a driver's discovery calls."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -173,16 +175,16 @@
 
 
 class EventHarness:
-    """One driver, its clients and the remote ends of its connections to endpoints."""
+    """One driver with its clients and the peers of its endpoint connections."""
 
-    def __init__(self, **changes: Any) -> None:
+    def __init__(self, **overrides: Any) -> None:
         self.time = START_US
-        self.config: Config = parse_config(config_bytes(**changes))
+        self.config: Config = parse_config(config_bytes(**overrides))
         self.opened: list[tuple[int, FakeTransport]] = []
         self.discovery = FakeDiscovery()
-        self.out = io.StringIO()
+        self.log_output = io.StringIO()
         self.driver = PlatformDriver(
-            self.config, lambda: self.time, self._connect, self.discovery, Log(self.out)
+            self.config, lambda: self.time, self._connect, self.discovery, Log(self.log_output)
         )
         self.driver.on_endpoint_update(
             UpdateKind.CACHED, read_endpoint_list(self.config.cached_endpoint_list, ["east"], ["k"])
@@ -195,13 +197,13 @@
         return transport
 
     def process(self) -> None:
-        """Give the driver its turn."""
+        """Run one iteration of the driver."""
         self.driver.input_ready_since_us = self.time
         self.driver.process_pending()
 
-    def advance_us(self, span: int) -> None:
-        """Advance the clock, and give the driver its turn whenever something is due."""
-        end = self.time + span
+    def advance_us(self, duration_us: int) -> None:
+        """Advance the clock, running the driver whenever a timer is due."""
+        end = self.time + duration_us
         while (due := self.driver.next_due_us()) is not None and due <= end:
             self.time = max(self.time, due)
             self.process()
@@ -209,30 +211,30 @@
         self.process()
 
     def client(self, *texts: bytes) -> FakeTransport:
-        """Connect a client that sends these queries; its welcome is not among what was sent to it."""
+        """Connect a client that sends these queries; the startup response is removed from its output."""
         transport = FakeTransport()
         self.driver.client_listener.accept(transport)
         assert transport.protocol is not None
-        transport.protocol.data_received(HELLO + b"".join(map(m.query, texts)))
+        transport.protocol.data_received(STARTUP_MESSAGE + b"".join(map(m.query, texts)))
         del transport.sent[: len(server.STARTUP_RESPONSE)]
         self.process()
         return transport
 
     def feed(self, transport: FakeTransport, data: bytes) -> None:
-        """Let bytes arrive from the other end."""
+        """Deliver bytes from the peer."""
         assert transport.protocol is not None
         transport.protocol.data_received(data)
         self.process()
 
     def disconnect(self, transport: FakeTransport) -> None:
-        """Let the other end close the connection."""
+        """Let the peer close the connection."""
         transport.closed = True
         assert transport.protocol is not None
         transport.protocol.connection_lost("closed")
         self.process()
 
     def log_in(self, transport: FakeTransport) -> bytes:
-        """Let the endpoint accept a new connection and welcome it; return the query that follows."""
+        """Let the endpoint accept a connection and complete its startup; return the query that follows."""
         assert transport.protocol is not None
         transport.protocol.connection_made()
         transport.take()
@@ -240,7 +242,7 @@
         return transport.take()
 
     def busy_transports(self) -> list[FakeTransport]:
-        """Return the open connections to endpoints that have an exchange, in the order of their opening."""
+        """Return the open endpoint connections with an exchange, in order of creation."""
         return [
             transport
             for _, transport in self.opened
--- a/tests/platform/test_any_customer.py
+++ b/tests/platform/test_arbitrary_settings.py
@@ -1,4 +1,4 @@
-"""Whatever a customer's settings say: names, classes, effects, limits and costs are taken from them alone."""
+"""Names, classes, effects, limits and costs come from the settings alone, for arbitrary settings."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from hypothesis import strategies as st
 
 from juniperreel.postgres import messages as m
-from tests.platform.event_harness import MS, SETTINGS, EventHarness, read_text, row, write_text
+from tests.platform.event_harness import MS, SETTINGS, EventHarness, read_query, row_reply, write_query
 
 ROOT = Path(__file__).parents[2]
-RUN = ("routing", "platform_settings.py", "platform", "postgres", "net")
+DRIVER_SOURCES = ("routing", "platform_settings.py", "platform", "postgres", "net")
 
 names = st.from_regex(re.compile(r"[0-9A-Za-z_.-]{1,64}"), fullmatch=True)
 shares = st.floats(0.0, 1.0)
 
 
 @st.composite
-def service(draw: st.DrawFn) -> dict[str, Any]:
+def request_class(draw: st.DrawFn) -> dict[str, Any]:
     deadline = draw(st.floats(0.15, 20.0))
     return {
         "name": draw(names),
@@ -36,9 +36,9 @@
 
 
 @st.composite
-def customer(draw: st.DrawFn) -> dict[str, Any]:
-    classes = draw(st.lists(service(), min_size=1, max_size=5, unique_by=lambda s: s["name"]))
-    kinds = [draw(st.sampled_from(["any", "bounded", "session", "fresh", "write"])) for _ in classes]
+def customer_settings(draw: st.DrawFn) -> dict[str, Any]:
+    classes = draw(st.lists(request_class(), min_size=1, max_size=5, unique_by=lambda s: s["name"]))
+    consistencies = [draw(st.sampled_from(["any", "bounded", "session", "fresh", "write"])) for _ in classes]
     flags = {name: draw(st.booleans()) for name in ("cancelling", "probes", "retry_after", "second_copies")}
     return {
         **SETTINGS,
@@ -61,7 +61,7 @@
         "services": classes,
         "specifics": {
             **SETTINGS["specifics"],
-            "consistency": kinds,
+            "consistency": consistencies,
             "lag_allowed_s": [draw(st.floats(0.0, 2.0)) for _ in classes],
             "guards": draw(st.sampled_from(["off", "refuse", "wait"])),
             "wait_s": draw(st.floats(0.0, 0.2)),
@@ -75,60 +75,60 @@
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=list(HealthCheck))
-@given(customer(), st.booleans())
-def test_every_request_of_any_customer_has_one_final_answer_in_time(
-    said: dict[str, Any], answers: bool
+@given(customer_settings(), st.booleans())
+def test_every_request_gets_one_timely_final_answer_for_any_settings(
+    settings_data: dict[str, Any], endpoints_answer: bool
 ) -> None:
-    harness = EventHarness(settings=said)
-    for number, (kind, consistency) in enumerate(
-        zip(said["services"], said["specifics"]["consistency"], strict=True)
+    harness = EventHarness(settings=settings_data)
+    for number, (request_class_settings, consistency) in enumerate(
+        zip(settings_data["services"], settings_data["specifics"]["consistency"], strict=True)
     ):
         name = f"{number + 1:016x}"
         write = consistency == "write"
-        span = int(kind["deadline_s"] * 1000)
+        timeout_ms = int(request_class_settings["deadline_s"] * 1000)
         text = (
-            write_text(name, span)
+            write_query(name, timeout_ms)
             if write
-            else read_text(name, span=span, k=name, after=harness.time // MS - 500)
+            else read_query(name, timeout_ms=timeout_ms, k=name, after=harness.time // MS - 500)
         )
-        tenant = f"t={said['tenants'][0]['name']}," if said["tenants"] else ""
-        text = re.sub(rb"c=[a-z]+,t=acme,", f"c={kind['name']},{tenant}".encode(), text)
+        tenant = f"t={settings_data['tenants'][0]['name']}," if settings_data["tenants"] else ""
+        text = re.sub(rb"c=[a-z]+,t=acme,", f"c={request_class_settings['name']},{tenant}".encode(), text)
         client = harness.client(text)
-        end = harness.time + span * MS
+        end = harness.time + timeout_ms * MS
         while not client.sent and harness.time <= end + 50 * MS:
-            for call in harness.busy_transports():
-                asked = call.take() or harness.log_in(call)
-                if answers and asked.startswith(b"Q"):
-                    role = "primary" if call is harness.opened[0][1] else "standby"
-                    harness.feed(call, row(b"v", role, harness.time // MS))
+            for transport in harness.busy_transports():
+                query = transport.take() or harness.log_in(transport)
+                if endpoints_answer and query.startswith(b"Q"):
+                    role = "primary" if transport is harness.opened[0][1] else "standby"
+                    harness.feed(transport, row_reply(b"v", role, harness.time // MS))
             harness.advance_us(10 * MS)
-        got = client.take()
-        assert got.count(m.READY) == 1, (kind, consistency, got)
-        assert got[:1] in b"TE", (kind, consistency, got)
+        received = client.take()
+        assert received.count(m.READY) == 1, (request_class_settings, consistency, received)
+        assert received[:1] in b"TE", (request_class_settings, consistency, received)
         harness.advance_us(100 * MS)
-        assert not client.sent  # and no second one
-    assert "policy raised on batch" not in harness.out.getvalue()
+        assert not client.sent  # no second answer
+    assert "policy raised on batch" not in harness.log_output.getvalue()
 
 
-def named(value: Any, under: tuple[str, ...] = ()) -> set[str]:
-    """Names of classes, tenants, zones, kinds and tiers in a site file."""
+def collect_names(value: Any, under: tuple[str, ...] = ()) -> set[str]:
+    """Names of classes, tenants, zones, machine types and tiers in a site file."""
     if isinstance(value, dict):
-        return {n for k, v in value.items() for n in named(v, (*under, k))}
+        return {n for k, v in value.items() for n in collect_names(v, (*under, k))}
     if isinstance(value, list):
-        return {n for v in value for n in named(v, under)}
-    told = under[-1:] in (("name",), ("zones",)) and under[0] != "trouble"
-    return {value} if told and isinstance(value, str) else set()
+        return {n for v in value for n in collect_names(v, under)}
+    names_deployment = under[-1:] in (("name",), ("zones",)) and under[0] != "trouble"
+    return {value} if names_deployment and isinstance(value, str) else set()
 
 
-def test_nothing_in_the_program_names_a_customer() -> None:
+def test_source_contains_no_deployment_names() -> None:
     found = set()
     for site in (ROOT / "deploy/sites").glob("*.toml"):
-        found |= named(tomllib.loads(site.read_text(encoding="utf-8")))
+        found |= collect_names(tomllib.loads(site.read_text(encoding="utf-8")))
     assert {"harbour-tides", "tide-table", "pilots", "north-quay", "slim-4", "quiz-db"} <= found
     package = ROOT / "juniperreel"
     files = [
         f
-        for part in RUN
+        for part in DRIVER_SOURCES
         for f in ([package / part] if part.endswith(".py") else (package / part).rglob("*.py"))
     ]
     assert len(files) > 20
--- a/tests/platform/test_arrival_times.py
+++ b/tests/platform/test_arrival_times.py
@@ -1,4 +1,4 @@
-"""When the bytes of a stream arrived."""
+"""Arrival times of the bytes of a stream."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.platform.event_harness import MS
 
 
-def test_arrival_of_what_is_taken_is_that_of_its_last_byte() -> None:
+def test_arrival_time_is_that_of_last_byte_taken() -> None:
     arrivals = ArrivalTimes()
     arrivals.receive(10, 100 * MS)
     arrivals.receive(10, 200 * MS)
@@ -17,7 +17,7 @@
     assert arrivals.take(unread=0) == 300 * MS
 
 
-def test_bytes_that_arrive_one_by_one_share_a_mark_and_count_from_the_first() -> None:
+def test_bytes_arriving_singly_share_a_mark_from_the_first() -> None:
     arrivals = ArrivalTimes()
     for n in range(1000):
         arrivals.receive(1, 100 * MS + n // 10)
--- a/tests/platform/test_guards.py
+++ b/tests/platform/test_components.py
@@ -1,5 +1,5 @@
-"""The small classes without I/O: descriptors, idle connections, shutdown, timers, parameter status, lists,
-configuration."""
+"""Unit tests of components without I/O: descriptor budget, idle timeout, shutdown schedule, timers, parameter
+status, endpoint lists and configuration."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from juniperreel.platform.idle_timeout import IdleTimeout
 from juniperreel.platform.timer_queue import TimerQueue
 from juniperreel.routing.types import LoadReport, Readiness, Role
-from tests.platform.event_harness import MS, SEC, SETTINGS, config_bytes, entry
+from tests.platform.event_harness import MS, SEC, SETTINGS, config_bytes, list_entry
 
 
 @pytest.mark.parametrize("total", [64, 256, 384, 1024])
-def test_clients_and_members_share_the_descriptors(total: int) -> None:
+def test_descriptors_are_divided_between_clients_and_endpoints(total: int) -> None:
     budget = DescriptorBudget(total)
     assert budget.client_limit + budget.endpoint_limit < total
     assert budget.client_limit > total / 3 - 8
 
 
-def test_idle_connections_are_kept_until_their_uses_are_lost() -> None:
+def test_idle_timeout_adapts_to_lost_uses() -> None:
     timeout = IdleTimeout()
     for n in range(200):
-        timeout.record_use(n * 20 * MS, 5 * MS, n % 25 != 0)  # one in 25 is lost whatever we do
+        timeout.record_use(n * 20 * MS, 5 * MS, n % 25 != 0)  # a constant loss of one in 25
     assert timeout.allows(60 * SEC)
     for n in range(20):
         timeout.record_use(4 * SEC + n, 300 * MS, n % 3 != 0)
@@ -41,22 +41,22 @@
     assert timeout.allows(200 * MS)
     for n in range(40):
         timeout.record_use((8 + n) * SEC, 2 * MS, True)
-    assert timeout.allows(300 * MS)  # what is no longer tried is forgotten, and tried again
+    assert timeout.allows(300 * MS)  # without recent uses, losses decay and the idle time is tried again
 
 
-def test_a_shortest_time_is_always_tried() -> None:
+def test_shortest_idle_time_is_always_allowed() -> None:
     timeout = IdleTimeout()
     for n in range(50):
         timeout.record_use(n, 0, False)
     assert timeout.allows(0)
 
 
-def test_a_shutdown_ends_connections_then_answers_before_the_kill() -> None:
+def test_shutdown_closes_connections_and_answers_before_kill() -> None:
     shutdown = GracefulShutdown(2 * SEC)
     assert shutdown.latest_answer_us(9 * SEC) == 9 * SEC
     assert not shutdown.closes_connections(9 * SEC)
     shutdown.begin(10 * SEC)
-    shutdown.begin(11 * SEC)  # a second SIGTERM changes nothing
+    shutdown.begin(11 * SEC)  # a second SIGTERM has no effect
     kill = 10 * SEC + 2 * SEC + 700 * MS
     assert not shutdown.closes_connections(kill - 900 * MS)
     assert shutdown.closes_connections(kill - 800 * MS)
@@ -68,11 +68,11 @@
     assert GracefulShutdown(9 * SEC).latest_answer_us(60 * SEC) == 60 * SEC
     late = GracefulShutdown(9 * SEC)
     late.begin(0)
-    assert late.latest_answer_us(60 * SEC) == 3200 * MS  # longer deadlines count as 3 s
+    assert late.latest_answer_us(60 * SEC) == 3200 * MS  # longer deadlines are capped at 3 s
 
 
 @pytest.mark.parametrize("deadline_us", [50 * MS, 200 * MS, 300 * MS, 600 * MS, 1 * SEC])
-def test_a_shutdown_that_is_killed_soon_takes_new_connections_as_long_as_they_come(deadline_us: int) -> None:
+def test_shutdown_with_early_kill_accepts_expected_new_connections(deadline_us: int) -> None:
     shutdown = GracefulShutdown(deadline_us)
     shutdown.begin(0)
     kill_us = deadline_us + 700 * MS
@@ -82,25 +82,25 @@
     assert shutdown.closes_listener(shutdown.exit_us())
 
 
-def test_watches_of_few_drivers_wait_less_and_of_many_no_longer_than_silence_may_last() -> None:
+def test_watch_wait_scales_with_fleet_size_within_bounds() -> None:
     router = parse_config(config_bytes()).router
     for routers, ask_s, wait_s in ((3, 0, 2.0), (6, 30, 2.0), (150, 30, 3.0), (240, 0, 4.0), (240, 5, 2.5)):
         changed = replace(router, router_count=routers, poll_interval_us=ask_s * SEC)
         assert watch_wait_us(changed) == wait_s * SEC
-        assert wait_s * SEC + RESPONSE_TIMEOUT_US < 6 * SEC  # what a silent watch misses counts as told then
+        assert wait_s * SEC + RESPONSE_TIMEOUT_US < 6 * SEC  # missed changes count as notified after 6 s
 
 
-def test_timers_run_in_order_of_their_time() -> None:
-    timers, rung = TimerQueue(), list[int]()
+def test_timers_run_in_order_of_due_time() -> None:
+    timers, calls = TimerQueue(), list[int]()
     for due in (30, 10, 20, 10):
-        timers.call_at(due, lambda due=due: rung.append(due))  # type: ignore[misc]
+        timers.call_at(due, lambda due=due: calls.append(due))  # type: ignore[misc]
     assert timers.next_due_us() == 10
     timers.run_due(20)
-    assert rung == [10, 10, 20]
+    assert calls == [10, 10, 20]
     assert timers.next_due_us() == 30
 
 
-def test_facts_are_read_and_noise_is_left_out() -> None:
+def test_parameter_status_is_parsed_and_malformed_values_ignored() -> None:
     assert parameter_status.position_us({"log_position": "1767225600123"}) == 1767225600123000
     for text in ("", "-5", "1e9", "9" * 40, "²"):
         assert parameter_status.position_us({"log_position": text}) is None
@@ -113,20 +113,20 @@
 
 
 @given(st.text(max_size=60))
-def test_no_report_is_fatal(text: str) -> None:
+def test_load_report_parser_never_raises(text: str) -> None:
     parameter_status.load_report(text)
     parameter_status.position_us({"log_position": text})
 
 
-def test_a_list_is_read_line_by_line() -> None:
+def test_unreadable_list_entries_are_skipped() -> None:
     raw = {
         "seq": 7,
         "whole": True,
         "hosts": [
-            entry("a", 1, health="Terminating", born_ms=1767225600123.5, replication="primary"),
-            entry("b", 2, health="Lost"),
-            entry("c", 3, dial="nowhere"),
-            entry("d", 4, share=0),
+            list_entry("a", 1, health="Terminating", born_ms=1767225600123.5, replication="primary"),
+            list_entry("b", 2, health="Lost"),
+            list_entry("c", 3, dial="nowhere"),
+            list_entry("d", 4, share=0),
             "noise",
         ],
     }
@@ -134,10 +134,10 @@
     assert found.unreadable_lines == 4
     assert found.version == 7
     assert found.addresses == {"a": ("127.0.0.1", 1)}
-    (member,) = found.endpoints
-    assert member.readiness is Readiness.DRAINING
-    assert member.listed_primary
-    assert member.started_us == 1767225600123500
+    (endpoint,) = found.endpoints
+    assert endpoint.readiness is Readiness.DRAINING
+    assert endpoint.listed_primary
+    assert endpoint.started_us == 1767225600123500
     gone = endpoint_list.read_endpoint_list(
         {"seq": 8, "whole": False, "hosts": [{"host": "a", "health": "Gone"}]}, [], []
     )
@@ -148,7 +148,7 @@
     "raw",
     [None, [], {}, {"seq": 1, "whole": True, "hosts": []}, {"seq": "1", "whole": False, "hosts": []}],
 )
-def test_what_is_no_list_is_named(raw: Any) -> None:
+def test_invalid_list_raises_error(raw: Any) -> None:
     with pytest.raises(EndpointListError):
         endpoint_list.read_endpoint_list(raw, [], [])
 
@@ -160,13 +160,13 @@
 )
 
 
-@given(st.dictionaries(st.sampled_from(list(entry("a", 1))), json_values))
-def test_no_line_of_a_list_is_fatal(line: dict[str, Any]) -> None:
+@given(st.dictionaries(st.sampled_from(list(list_entry("a", 1))), json_values))
+def test_list_entry_parser_never_raises(line: dict[str, Any]) -> None:
     found = endpoint_list.read_endpoint_list({"seq": 1, "whole": False, "hosts": [line]}, ["east"], ["k"])
     assert len(found.endpoints) + found.unreadable_lines == 1
 
 
-def test_a_configuration_is_read_whole_or_not_at_all() -> None:
+def test_invalid_configuration_is_rejected_as_a_whole() -> None:
     config = parse_config(config_bytes())
     assert config.discovery == ("127.0.0.1", 9)
     assert config.seed == 0x5F
@@ -206,7 +206,7 @@
         ),
     ],
 )
-def test_no_configuration_file_raises_anything_but_a_configuration_error(data: bytes) -> None:
-    """What is raised beside it would end a driver that is told to read the file again."""
+def test_invalid_configuration_raises_only_config_error(data: bytes) -> None:
+    """Any other exception would terminate a driver that reloads its configuration."""
     with pytest.raises(ConfigError):
         parse_config(data)
--- a/tests/platform/test_crossings.py
+++ b/tests/platform/test_crossings.py
@@ -1,5 +1,7 @@
-"""Two events that cross, on real sockets, in the bad order every time. `docs/design/crossings.md` says which
-test stands for which cell."""
+"""Races between two events, forced into the unfavorable order on real sockets.
+
+`docs/design/crossings.md` maps each cell of its table to a test.
+"""
 
 from __future__ import annotations
 
@@ -12,92 +14,104 @@
 from juniperreel.net.transport import Transport
 from juniperreel.postgres import messages as m
 from juniperreel.postgres import server
-from tests.platform.event_harness import HELLO, MS, SEC, SETTINGS, read_text, row, write_text
-from tests.platform.socket_harness import FakeEndpoint, RemoteEnd, SocketHarness
+from tests.platform.event_harness import (
+    MS,
+    SEC,
+    SETTINGS,
+    STARTUP_MESSAGE,
+    read_query,
+    row_reply,
+    write_query,
+)
+from tests.platform.socket_harness import FakeEndpoint, PeerConnection, SocketHarness
 
-ENDED = select.POLLRDHUP | select.POLLHUP
-IDS = [f"{n:016x}" for n in range(1, 200)]
+HANG_UP = select.POLLRDHUP | select.POLLHUP
+REQUEST_IDS = [f"{n:016x}" for n in range(1, 200)]
 
 
 def served(sent: bytes) -> bool:
     return sent.startswith(b"T")
 
 
-def after_the_check(transport: Transport, what: Callable[[], None]) -> None:
-    """`what` happens between a driver's look for unread bytes and what it does upon it."""
-    look = transport.has_nothing_to_read
+def run_after_unread_check(transport: Transport, action: Callable[[], None]) -> None:
+    """Run `action` between the driver's check for unread bytes and its reaction to the result."""
+    original_check = transport.has_nothing_to_read
 
-    def quiet() -> bool:
-        found = look()
+    def check_then_run() -> bool:
+        found = original_check()
         if found:
-            transport.has_nothing_to_read = look  # type: ignore[method-assign]
-            what()
+            transport.has_nothing_to_read = original_check  # type: ignore[method-assign]
+            action()
         return found
 
-    transport.has_nothing_to_read = quiet  # type: ignore[method-assign]
+    transport.has_nothing_to_read = check_then_run  # type: ignore[method-assign]
 
 
-def before_the_answer(transport: Transport, what: Callable[[], None]) -> None:
-    """`what` happens when a driver is about to write the next answer."""
+def run_before_next_write(transport: Transport, action: Callable[[], None]) -> None:
+    """Run `action` just before the driver writes the next answer."""
     write = transport.write
 
-    def write_behind_it(data: bytes | bytearray) -> None:
+    def run_then_write(data: bytes | bytearray) -> None:
         transport.write = write  # type: ignore[method-assign]
-        what()
+        action()
         write(data)
 
-    transport.write = write_behind_it  # type: ignore[method-assign]
+    transport.write = run_then_write  # type: ignore[method-assign]
 
 
-# A connection that the driver ends.
+# Connections closed by the driver.
 
 
-async def test_a_request_that_crosses_the_end_of_its_connection_meets_an_end_and_no_reset() -> None:
-    """Danger: closing over unread bytes resets the connection, and takes what was sent last along."""
+async def test_request_sent_during_close_gets_fin_not_reset() -> None:
+    """Guards against lost answers: closing a socket with unread bytes resets it and discards sent data."""
     with SocketHarness() as harness:
         await harness.learn_positions()
-        client = await harness.client(read_text(IDS[0]))
-        member = await harness.next_query("a")
-        member.take()
-        after_the_check(harness.client_transports[-1], lambda: client.send(m.query(read_text(IDS[1]))))
-        member.send(row(b"kept"))
-        await harness.until(lambda: not harness.driver.requests.by_id)
-        harness.driver.client_listener.close_when_answered()  # looks; the next request comes behind the look
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        run_after_unread_check(
+            harness.client_transports[-1], lambda: client.send(m.query(read_query(REQUEST_IDS[1])))
+        )
+        endpoint.send(row_reply(b"kept"))
+        await harness.wait_until(lambda: not harness.driver.requests.by_id)
+        harness.driver.client_listener.close_when_answered()  # the next request arrives after its check
         await harness.wait_for_end(client)
-        assert client.ended == "fin"
-        assert b"kept" in client.got
-        assert harness.members["a"].queries == harness.members["p"].queries == b""  # read, and not sent on
+        assert client.close_kind == "fin"
+        assert b"kept" in client.received
+        assert (
+            harness.endpoints["a"].queries == harness.endpoints["p"].queries == b""
+        )  # read but not forwarded
 
 
-async def test_a_connection_ended_while_its_client_is_silent_is_free_after_a_bounded_time() -> None:
+async def test_closing_connection_of_silent_client_is_freed_after_timeout() -> None:
     with SocketHarness() as harness:
         client = await harness.client(b"")
         await harness.read_answer(client)
         harness.driver.client_listener.close_when_answered()
         await harness.wait_for_end(client)
-        assert len(harness.driver.client_listener.clients) == 1  # the client has not ended its side
+        assert len(harness.driver.client_listener.clients) == 1  # the client has not closed its side
         harness.advance_us(SEC)
         assert not harness.driver.client_listener.clients
         assert harness.driver.budget.clients == 0
 
 
-@pytest.mark.parametrize("leaving", [True, False])
-async def test_an_answer_that_is_half_out_leaves_whole(leaving: bool) -> None:
-    """Small buffers hold the answer back when its connection is to end."""
+@pytest.mark.parametrize("shutting_down", [True, False])
+async def test_partially_sent_answer_is_completed_before_close(shutting_down: bool) -> None:
+    """Small socket buffers delay the answer while the connection is to be closed."""
     value = bytes(60_000)
     with SocketHarness() as harness:
         await harness.learn_positions()
         client = await harness.client(buffer=2048)
         transport = harness.client_transports[-1]
         transport._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        client.send(m.query(read_text(IDS[0])))
-        member = await harness.next_query("a")
-        member.take()
-        if leaving:
+        client.send(m.query(read_query(REQUEST_IDS[0])))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        if shutting_down:
             harness.driver.begin_shutdown()
             harness.driver.client_listener.close_when_answered()
-        member.send(row(value))
-        await harness.until(lambda: not harness.driver.requests.by_id)
+        endpoint.send(row_reply(value))
+        await harness.wait_until(lambda: not harness.driver.requests.by_id)
         assert transport.write_buffer_size
         harness.advance_us(SEC)
         harness.driver.client_listener.close_when_answered()
@@ -106,58 +120,60 @@
         assert await harness.wait_for_end(client) == "fin"
 
 
-async def test_a_last_command_of_a_busy_connection_is_answered_before_its_end() -> None:
-    """One that was written behind an open one, and lies unread when that is answered, was accepted."""
+async def test_last_command_on_busy_connection_is_answered_before_close() -> None:
+    """A command sent after an open one, and still unread when that is answered, must be answered, too."""
     with SocketHarness() as harness:
         await harness.learn_positions()
-        client = await harness.client(read_text(IDS[0]))
-        member = await harness.next_query("a")
-        member.take()
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
         harness.driver.begin_shutdown()
         harness.driver.client_listener.close_when_answered()
-        before_the_answer(harness.client_transports[-1], lambda: client.send(m.query(read_text(IDS[1]))))
-        member.send(row(b"one"))
-        await harness.until(lambda: b"one" in client.read())
-        member = await harness.next_query("a")
-        member.take()
-        member.send(row(b"two"))
-        await harness.until(lambda: b"two" in client.read())
+        run_before_next_write(
+            harness.client_transports[-1], lambda: client.send(m.query(read_query(REQUEST_IDS[1])))
+        )
+        endpoint.send(row_reply(b"one"))
+        await harness.wait_until(lambda: b"one" in client.read())
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        endpoint.send(row_reply(b"two"))
+        await harness.wait_until(lambda: b"two" in client.read())
         harness.driver.client_listener.close_when_answered()
         assert await harness.wait_for_end(client) == "fin"
-        assert client.got.count(m.READY) == 2
+        assert client.received.count(m.READY) == 2
 
 
-async def test_a_command_half_read_when_its_connection_is_to_end_is_read_whole_and_answered() -> None:
+async def test_partially_read_command_is_completed_and_answered_before_close() -> None:
     with SocketHarness() as harness:
         await harness.learn_positions()
-        client = await harness.client(read_text(IDS[0]))
-        await harness.until(lambda: harness.driver.requests.by_id)
-        second = m.query(read_text(IDS[1]))
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        await harness.wait_until(lambda: harness.driver.requests.by_id)
+        second = m.query(read_query(REQUEST_IDS[1]))
         client.send(second[:40])
         await harness.wait_for_event(harness.client_transports[-1])
         await harness.poll_once()
         harness.driver.begin_shutdown()
         harness.driver.client_listener.close_when_answered()
-        member = await harness.next_query("a")
-        member.take()
-        member.send(row(b"one"))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        endpoint.send(row_reply(b"one"))
         assert b"one" in await harness.read_answer(client)
         harness.driver.client_listener.close_when_answered()
         client.take()
         client.send(second[40:])
-        member = await harness.next_query("a")
-        member.take()
-        member.send(row(b"two"))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        endpoint.send(row_reply(b"two"))
         assert b"two" in await harness.read_answer(client)
         assert await harness.wait_for_end(client) == "fin"
 
 
-async def test_a_slow_writer_has_two_seconds_for_each_command() -> None:
-    """Not for all of them together, nor from when the first one began."""
+async def test_slow_sender_has_full_timeout_for_each_command() -> None:
+    """The timeout applies to each command separately, not to all of them from the start of the first."""
     with SocketHarness() as harness:
         await harness.learn_positions()
         client = await harness.client()
-        texts = [m.query(read_text(name)) for name in IDS[:3]]
+        texts = [m.query(read_query(name)) for name in REQUEST_IDS[:3]]
         client.send(texts[0][:30])
         for n, text in enumerate(texts):
             await harness.wait_for_event(harness.client_transports[-1])
@@ -165,69 +181,69 @@
             harness.advance_us(1500 * MS)
             following = texts[n + 1][:30] if n + 1 < len(texts) else b""
             client.send(text[30:] + following)
-            member = await harness.next_query("a")
-            member.take()
-            member.send(row(b"value %d" % n))
-            await harness.until(lambda n=n: b"value %d" % n in client.read())  # type: ignore[misc]
+            endpoint = await harness.next_query("a")
+            endpoint.take()
+            endpoint.send(row_reply(b"value %d" % n))
+            await harness.wait_until(lambda n=n: b"value %d" % n in client.read())  # type: ignore[misc]
             if following:
                 client.send(texts[n + 1][30:40])
                 texts[n + 1] = texts[n + 1][:30] + texts[n + 1][40:]
-        assert b"FATAL" not in client.got
+        assert b"FATAL" not in client.received
 
 
-async def test_connections_that_the_kernel_holds_when_the_door_closes_are_ended_in_order() -> None:
-    """More of them than one poll takes, with and without a request."""
+async def test_backlogged_connections_are_closed_gracefully_with_listener() -> None:
+    """There are more connections than one poll accepts, with and without a request."""
     with SocketHarness() as harness:
         await harness.learn_positions()
-        asking = [harness.connect() for _ in range(100)]
-        for client in asking:
-            client.send(HELLO + m.query(b""))
+        active_clients = [harness.connect() for _ in range(100)]
+        for client in active_clients:
+            client.send(STARTUP_MESSAGE + m.query(b""))
         silent = [harness.connect() for _ in range(20)]
         harness.driver.begin_shutdown()
         harness.acceptor.close()
         harness.driver.client_listener.close_when_answered()
-        for client in asking:
+        for client in active_clients:
             assert (await harness.read_answer(client)).endswith(b"I\0\0\0\4" + m.READY)
         harness.driver.client_listener.close_when_answered()
-        for client in asking + silent:
+        for client in active_clients + silent:
             assert await harness.wait_for_end(client) == "fin"
             client.close()
-        await harness.until(lambda: harness.driver.is_idle)
+        await harness.wait_until(lambda: harness.driver.is_idle)
 
 
-# SIGTERM and what is in hand.
+# SIGTERM with requests in flight.
 
 
-async def test_a_request_taken_before_sigterm_has_its_answer_before_the_kill() -> None:
-    """Its deadline lies beyond the kill, its answer is worth waiting for to the end, and its member hangs."""
+async def test_request_accepted_before_sigterm_is_answered_before_kill() -> None:
+    """Its deadline lies after the kill, late answers keep full worth, and the endpoint is unresponsive."""
     patient = {"deadline_s": 9.0, "late_worth": 1.0}
     services = [*SETTINGS["services"][:2], {**SETTINGS["services"][2], **patient}]
     with SocketHarness(settings={**SETTINGS, "services": services}) as harness:
         await harness.learn_positions()
-        client = await harness.client(write_text(IDS[0], span=9000))
-        member = await harness.next_query("p")
-        member.take()
+        client = await harness.client(write_query(REQUEST_IDS[0], timeout_ms=9000))
+        endpoint = await harness.next_query("p")
+        endpoint.take()
         harness.driver.begin_shutdown()
-        harness.advance_us(3200 * MS)  # the kill comes 3.7 s after SIGTERM
+        harness.advance_us(3200 * MS)  # the kill follows 3.7 s after SIGTERM
         await harness.read_answer(client)
-        assert client.got.startswith(b"E")
-        assert b"C53300\0" not in client.got
-        await harness.until(lambda: member.read() is None or member.ended)
+        assert client.received.startswith(b"E")
+        assert b"C53300\0" not in client.received
+        await harness.wait_until(lambda: endpoint.read() is None or endpoint.close_kind)
 
 
-async def test_a_request_that_waits_for_a_connection_at_sigterm_is_refused_in_time() -> None:
+async def test_request_awaiting_connection_at_sigterm_is_rejected_in_time() -> None:
     with SocketHarness() as harness:
-        client = await harness.client(write_text(IDS[0], span=9000))
-        await harness.until(lambda: harness.driver.requests.by_id)
-        for end in harness.members.values():
-            end.sock.close()  # the member is gone, and another is never found
+        client = await harness.client(write_query(REQUEST_IDS[0], timeout_ms=9000))
+        await harness.wait_until(lambda: harness.driver.requests.by_id)
+        for end in harness.endpoints.values():
+            end.sock.close()  # the endpoints are unreachable
         harness.driver.begin_shutdown()
         harness.advance_us(3200 * MS)
         await harness.read_answer(client)
-        assert b"C53300\0" in client.got
+        assert b"C53300\0" in client.received
 
 
-async def test_the_driver_wakes_itself_for_the_last_steps_of_a_shutdown() -> None:
+async def test_driver_schedules_wakeups_for_last_shutdown_steps() -> None:
     with SocketHarness() as harness:
         harness.driver.begin_shutdown()
         shutdown = harness.driver.shutdown
@@ -239,246 +255,258 @@
         assert {shutdown.closing_starts_us(), shutdown.last_answers_us(), shutdown.exit_us()} <= set(dues)
 
 
-# Who has left.
+# Clients that disconnect.
 
 
-async def test_a_request_read_together_with_its_clients_end_is_not_sent_on() -> None:
+async def test_request_read_together_with_client_disconnect_is_not_forwarded() -> None:
     with SocketHarness() as harness:
         await harness.learn_positions()
-        client = await harness.client(read_text(IDS[0]), write_text(IDS[1]))
+        client = await harness.client(read_query(REQUEST_IDS[0]), write_query(REQUEST_IDS[1]))
         client.close()
-        await harness.wait_for_event(harness.client_transports[-1], ENDED)
-        await harness.until(lambda: not harness.driver.client_listener.clients)
+        await harness.wait_for_event(harness.client_transports[-1], HANG_UP)
+        await harness.wait_until(lambda: not harness.driver.client_listener.clients)
         assert not harness.driver.requests.by_id
-        assert not harness.driver.requests.answered_us  # they were not even taken
-        assert harness.members["a"].queries == harness.members["p"].queries == b""
+        assert not harness.driver.requests.answered_us  # they were never accepted
+        assert harness.endpoints["a"].queries == harness.endpoints["p"].queries == b""
 
 
-async def test_a_client_that_left_while_a_connection_came_up_is_not_sent_on() -> None:
+async def test_request_is_not_forwarded_if_client_left_during_connect() -> None:
     with SocketHarness() as harness:
-        client = await harness.client(write_text(IDS[0]))
-        member = harness.members["p"]
-        await harness.until(lambda: member.accept() and member.ends[0].read().startswith(HELLO[:8]))
+        client = await harness.client(write_query(REQUEST_IDS[0]))
+        endpoint = harness.endpoints["p"]
+        await harness.wait_until(
+            lambda: endpoint.accept() and endpoint.connections[0].read().startswith(STARTUP_MESSAGE[:8])
+        )
         client.close()
-        await harness.until(lambda: not harness.driver.client_listener.clients)
-        member.ends[0].take()
-        member.ends[0].send(b"R\0\0\0\x08\0\0\0\0" + m.READY)  # the welcome comes late
+        await harness.wait_until(lambda: not harness.driver.client_listener.clients)
+        endpoint.connections[0].take()
+        endpoint.connections[0].send(b"R\0\0\0\x08\0\0\0\0" + m.READY)  # late startup response
         await harness.wait_until_idle("p")
-        assert member.queries == b""
+        assert endpoint.queries == b""
 
 
-async def test_a_client_that_left_in_the_round_of_its_members_reset_is_not_tried_again() -> None:
-    """Both ends are there when the driver looks; the member's may be read first."""
-    for first in ("member", "client"):
+async def test_no_retry_if_client_disconnect_coincides_with_endpoint_reset() -> None:
+    """Both closes are pending in the same poll; the endpoint's may be read first."""
+    for first in ("endpoint", "client"):
         with SocketHarness() as harness:
             await harness.learn_positions()
-            client = await harness.client(read_text(IDS[0]))
-            member = await harness.next_query("a")
-            member.take()
-            ends: list[RemoteEnd] = [member, client] if first == "member" else [client, member]
-            (exchange,) = harness.driver.requests.by_id[IDS[0]].exchanges.values()
+            client = await harness.client(read_query(REQUEST_IDS[0]))
+            endpoint = await harness.next_query("a")
+            endpoint.take()
+            connections: list[PeerConnection] = (
+                [endpoint, client] if first == "endpoint" else [client, endpoint]
+            )
+            (exchange,) = harness.driver.requests.by_id[REQUEST_IDS[0]].exchanges.values()
             assert exchange.connection is not None
             transports = [harness.client_transports[-1], exchange.connection.transport]
-            for end in ends:
+            for end in connections:
                 end.close()
             for transport in transports:
-                await harness.wait_for_event(transport, ENDED)
-            await harness.until(
+                await harness.wait_for_event(transport, HANG_UP)
+            await harness.wait_until(
                 lambda: not harness.driver.client_listener.clients and not harness.driver.requests.by_id
             )
             harness.advance_us(SEC)
             await harness.poll_once()
-            assert harness.members["a"].queries == harness.members["p"].queries == b""
+            assert harness.endpoints["a"].queries == harness.endpoints["p"].queries == b""
 
 
-async def test_all_commands_of_a_client_that_left_end_with_it() -> None:
+async def test_all_commands_of_disconnected_client_are_withdrawn() -> None:
     with SocketHarness() as harness:
         await harness.learn_positions()
         client = await harness.client(
-            write_text(IDS[0], key="k"), read_text(IDS[1], "own", key="k"), read_text(IDS[2])
+            write_query(REQUEST_IDS[0], key="k"),
+            read_query(REQUEST_IDS[1], "own", key="k"),
+            read_query(REQUEST_IDS[2]),
         )
-        await harness.until(lambda: len(harness.driver.requests.by_id) == 2)  # the second waits for the first
+        await harness.wait_until(
+            lambda: len(harness.driver.requests.by_id) == 2
+        )  # the second request waits for the first
         writes, reads = await harness.next_query("p"), await harness.next_query("a")
         for end in (writes, reads):
             end.take()
         client.close()
-        await harness.until(lambda: not harness.driver.requests.by_id)
+        await harness.wait_until(lambda: not harness.driver.requests.by_id)
         harness.advance_us(SEC)
         await harness.poll_once()
-        assert harness.members["a"].queries == harness.members["p"].queries == b""
+        assert harness.endpoints["a"].queries == harness.endpoints["p"].queries == b""
 
 
-# What becomes known while a connection comes up.
+# State that changes while a connection is being established.
 
 
-async def test_a_read_is_not_written_once_its_session_was_answered_a_newer_write() -> None:
-    """Both go out together; the read's connection comes up after the write's answer."""
+async def test_read_is_not_sent_to_replica_behind_newer_session_write() -> None:
+    """Both are in flight together; the read's connection is established after the write's answer."""
     with SocketHarness() as harness:
         await harness.learn_positions()
-        replica = harness.members["a"]
+        replica = harness.endpoints["a"]
         for connection in list(harness.driver.endpoint_pools.pools["a"].idle):
-            connection.close()  # so that the read needs a new one
-        reader = await harness.client(read_text(IDS[0], "own", span=1900))
-        await harness.until(lambda: any(e.read().startswith(HELLO[:8]) for e in replica.accept()))
-        writer = await harness.client(write_text(IDS[1]))
+            connection.close()  # so that the read needs a new connection
+        reader = await harness.client(read_query(REQUEST_IDS[0], "own", timeout_ms=1900))
+        await harness.wait_until(
+            lambda: any(e.read().startswith(STARTUP_MESSAGE[:8]) for e in replica.accept())
+        )
+        writer = await harness.client(write_query(REQUEST_IDS[1]))
         primary = await harness.next_query("p")
         primary.take()
         harness.advance_us(100 * MS)
-        primary.send(row(b"w", "primary", harness.clock.time // MS))
-        await harness.until(lambda: writer.read().endswith(m.READY))
-        late = next(e for e in replica.ends if e.read().startswith(HELLO[:8]))
+        primary.send(row_reply(b"w", "primary", harness.clock.time // MS))
+        await harness.wait_until(lambda: writer.read().endswith(m.READY))
+        late = next(e for e in replica.connections if e.read().startswith(STARTUP_MESSAGE[:8]))
         late.take()
         late.send(b"R\0\0\0\x08\0\0\0\0" + m.READY)
         await harness.wait_until_idle("a")
         assert b"INSERT" not in late.read()
-        assert IDS[0].encode() not in replica.queries
+        assert REQUEST_IDS[0].encode() not in replica.queries
         for _ in range(40):
             harness.advance_us(20 * MS)
             await harness.poll_once()
-            if IDS[0].encode() in harness.members["p"].queries:
+            if REQUEST_IDS[0].encode() in harness.endpoints["p"].queries:
                 break
-        assert IDS[0].encode() in harness.members["p"].queries  # the primary has what was written
+        assert REQUEST_IDS[0].encode() in harness.endpoints["p"].queries  # the primary has applied the write
         assert not reader.read()
 
 
-async def test_a_cut_off_answer_tells_of_a_new_role() -> None:
-    """It names its member a standby and stops there: reads must not go to it as to a primary."""
+async def test_truncated_reply_reports_role_change() -> None:
+    """The reply reports the standby role and is cut short; the endpoint must no longer count as primary."""
     with SocketHarness() as harness:
         await harness.learn_positions()
-        client = await harness.client(write_text(IDS[0]))
-        member = await harness.next_query("p")
-        member.take()
-        member.send(row(b"x", "standby", whole=False))
-        member.close()
-        await harness.until(lambda: harness.driver.router.state.groups[0].primary is None)
+        client = await harness.client(write_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("p")
+        endpoint.take()
+        endpoint.send(row_reply(b"x", "standby", complete=False))
+        endpoint.close()
+        await harness.wait_until(lambda: harness.driver.router.state.groups[0].primary is None)
         assert not served(client.read())
 
 
-# Members' connections.
+# Idle endpoint connections.
 
 
-async def test_half_a_line_on_a_resting_connection_ends_it_before_the_next_request() -> None:
+async def test_partial_message_on_idle_connection_closes_it_before_reuse() -> None:
     with SocketHarness() as harness:
         await harness.learn_positions()
-        (resting,) = harness.driver.endpoint_pools.pools["a"].idle
-        end = harness.members["a"].ends[0]
+        (idle_connection,) = harness.driver.endpoint_pools.pools["a"].idle
+        end = harness.endpoints["a"].connections[0]
         end.send(m.parameter("pressure", "inflight=1")[:7])
-        await harness.wait_for_event(resting.transport)
-        client = await harness.client(read_text(IDS[0]))
-        member = await harness.next_query("a")
-        assert member is not end
-        member.take()
-        member.send(row(b"good"))
+        await harness.wait_for_event(idle_connection.transport)
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("a")
+        assert endpoint is not end
+        endpoint.take()
+        endpoint.send(row_reply(b"good"))
         await harness.read_answer(client)
-        assert b"good" in client.got
-        assert resting.transport.closed
+        assert b"good" in client.received
+        assert idle_connection.transport.closed
 
 
-async def test_a_member_that_closes_a_resting_connection_costs_no_request() -> None:
+async def test_idle_connection_closed_by_endpoint_fails_no_request() -> None:
     with SocketHarness() as harness:
         await harness.learn_positions()
-        (resting,) = harness.driver.endpoint_pools.pools["a"].idle
-        harness.members["a"].ends[0].close()  # unread when the request comes
-        await harness.wait_for_event(resting.transport, ENDED)
-        client = await harness.client(read_text(IDS[0]))
-        member = await harness.next_query("a")
-        member.take()
-        member.send(row(b"good"))
+        (idle_connection,) = harness.driver.endpoint_pools.pools["a"].idle
+        harness.endpoints["a"].connections[0].close()  # the close is unread when the request arrives
+        await harness.wait_for_event(idle_connection.transport, HANG_UP)
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        endpoint.send(row_reply(b"good"))
         await harness.read_answer(client)
-        assert b"good" in client.got
+        assert b"good" in client.received
 
 
 # Descriptors.
 
 
-async def test_idle_clients_that_fill_the_descriptors_make_room_for_one_that_asks() -> None:
+async def test_idle_clients_are_evicted_for_new_client() -> None:
     with SocketHarness(limits={"cores": 0.5, "memory_mb": 64, "sockets": 80}) as harness:
         await harness.learn_positions()
         limit = harness.driver.budget.client_limit
-        crowd = [harness.connect() for _ in range(limit + 5)]
-        await harness.until(lambda: len(harness.client_transports) >= limit + 5)
-        client = await harness.client(read_text(IDS[0]))
-        member = await harness.next_query("a")
-        member.take()
-        member.send(row(b"good"))
+        idle_clients = [harness.connect() for _ in range(limit + 5)]
+        await harness.wait_until(lambda: len(harness.client_transports) >= limit + 5)
+        client = await harness.client(read_query(REQUEST_IDS[0]))
+        endpoint = await harness.next_query("a")
+        endpoint.take()
+        endpoint.send(row_reply(b"good"))
         await harness.read_answer(client)
         assert harness.driver.budget.clients <= limit
-        for end in crowd:
+        for end in idle_clients:
             end.close()
 
 
-async def test_of_clients_that_ask_once_and_stay_only_those_too_many_are_ended() -> None:
-    """The ends of connections take their time, as clients answer them late or never."""
+async def test_only_active_clients_above_limit_are_closed() -> None:
+    """Closing takes time, as clients close their side late or never."""
     with SocketHarness(limits={"cores": 0.5, "memory_mb": 64, "sockets": 80}) as harness:
         limit = harness.driver.budget.active_client_limit
         clients = [await harness.client(b"") for _ in range(limit + 6)]
         for client in clients:
-            await harness.until(lambda client=client: client.read() or client.ended)  # type: ignore[misc]
+            await harness.wait_until(lambda client=client: client.read() or client.close_kind)  # type: ignore[misc]
         await harness.poll_once()
-        ended = [client for client in clients if client.read() is not None and client.ended]
+        ended = [client for client in clients if client.read() is not None and client.close_kind]
         assert len(ended) == 6
         assert harness.driver.budget.active_clients == limit
         assert ended == clients[:6]  # the longest idle
         for client in clients:
             client.close()
-        await harness.until(lambda: not harness.driver.client_listener.clients)
+        await harness.wait_until(lambda: not harness.driver.client_listener.clients)
         assert harness.driver.budget.active_clients == harness.driver.budget.clients == 0
 
 
-async def test_where_descriptors_run_short_idle_clients_are_ended_until_they_do_not() -> None:
+async def test_idle_clients_are_closed_until_descriptor_shortage_ends() -> None:
     with SocketHarness(limits={"cores": 0.5, "memory_mb": 64, "sockets": 200}) as harness:
         budget = harness.driver.budget
-        budget.active_client_limit = 1000  # not what this is about
+        budget.active_client_limit = 1000  # irrelevant to this test
         clients = [await harness.client(b"") for _ in range(-(-budget.client_limit * 3 // 4) + 4)]
         await harness.read_answer(clients[-1])
         assert budget.clients_nearly_full
         harness.advance_us(3 * SEC)
-        await harness.until(lambda: [c for c in clients if c.read() is not None and c.ended])
-        assert len([c for c in clients if c.read() is not None and c.ended]) == 5
+        await harness.wait_until(lambda: [c for c in clients if c.read() is not None and c.close_kind])
+        assert len([c for c in clients if c.read() is not None and c.close_kind]) == 5
         for client in clients:
             client.close()
-        await harness.until(lambda: not harness.driver.client_listener.clients)
+        await harness.wait_until(lambda: not harness.driver.client_listener.clients)
         assert budget.closing_clients == budget.clients == 0
 
 
-def test_a_member_end_is_told_apart() -> None:
-    """The harness's own: each member has a port of its own."""
+def test_fake_endpoints_have_distinct_ports() -> None:
+    """Checks the harness itself."""
     first, second = FakeEndpoint(), FakeEndpoint()
     assert first.port != second.port
     first.sock.close()
     second.sock.close()
 
 
-# A client that leaves in the moment in which its request could be written.
+# Clients that disconnect just before their request could be written.
 
 
-async def _client_whose_request_waits_for_a_welcome(harness: SocketHarness) -> tuple[RemoteEnd, RemoteEnd]:
-    """Return a client, and the endpoint's end of the connection that was opened for its request."""
-    client = await harness.client(read_text(IDS[0]))
-    await harness.until(lambda: any(end.read() for end in harness.members["a"].accept()))
-    return client, harness.members["a"].ends[-1]
+async def _client_with_request_awaiting_startup(
+    harness: SocketHarness,
+) -> tuple[PeerConnection, PeerConnection]:
+    """Return a client and the endpoint connection that was opened for its request."""
+    client = await harness.client(read_query(REQUEST_IDS[0]))
+    await harness.wait_until(lambda: any(end.read() for end in harness.endpoints["a"].accept()))
+    return client, harness.endpoints["a"].connections[-1]
 
 
 @pytest.mark.parametrize("polled", ["before the client left", "after the client left"])
-async def test_a_client_that_has_left_gets_no_attempt_on_a_connection_that_comes_up(polled: str) -> None:
-    """The welcome is found first. A driver that is held up would write for a client that left long ago."""
+async def test_no_attempt_for_disconnected_client_on_new_connection(polled: str) -> None:
+    """The startup response is handled first; a suspended driver might write long after the client left."""
     with SocketHarness() as harness:
         await harness.learn_positions()
         harness.driver.endpoint_pools.pools["a"].idle[0].close()
-        client, member = await _client_whose_request_waits_for_a_welcome(harness)
-        member.take()
-        member.send(server.STARTUP_RESPONSE)
+        client, endpoint = await _client_with_request_awaiting_startup(harness)
+        endpoint.take()
+        endpoint.send(server.STARTUP_RESPONSE)
         await harness.wait_for_event(_endpoint_transport(harness))
         if polled == "before the client left":
             await harness.poller.wait(None)
         client.close()
-        await harness.wait_for_event(harness.client_transports[-1], ENDED)
+        await harness.wait_for_event(harness.client_transports[-1], HANG_UP)
         if polled == "after the client left":
             await harness.poller.wait(None)
         harness.poller.dispatch()
         harness.process()
-        await harness.until(lambda: not harness.driver.requests.by_id)
-        assert member.read() == b""
+        await harness.wait_until(lambda: not harness.driver.requests.by_id)
+        assert endpoint.read() == b""
 
 
 def _endpoint_transport(harness: SocketHarness) -> Transport:
@@ -486,29 +514,29 @@
     return connection.transport
 
 
-@pytest.mark.parametrize("half", [False, True], ids=["nothing asked so far", "half a command so far"])
-async def test_a_command_that_waits_unread_when_its_client_s_time_is_up_is_served(half: bool) -> None:
-    """The sweep that ends silent clients comes between the arrival of the command and the next poll."""
+@pytest.mark.parametrize("partial", [False, True], ids=["no command", "partial command"])
+async def test_unread_command_is_served_despite_expired_client_timeout(partial: bool) -> None:
+    """The check for silent clients runs between the arrival of the command and the next poll."""
     with SocketHarness() as harness:
         await harness.learn_positions()
         client = await harness.client()
-        query = m.query(read_text(IDS[0]))
-        if half:
+        query = m.query(read_query(REQUEST_IDS[0]))
+        if partial:
             client.send(query[:20])
             await harness.poll_once()
         harness.advance_us(1950 * MS)
-        client.send(query[20:] if half else query)
+        client.send(query[20:] if partial else query)
         await harness.wait_for_event(harness.client_transports[-1])
         harness.advance_us(300 * MS)
-        member = await harness.next_query("a")
-        member.send(row(b"kept"))
+        endpoint = await harness.next_query("a")
+        endpoint.send(row_reply(b"kept"))
         assert b"kept" in await harness.read_answer(client)
 
 
-async def test_a_client_that_stops_in_a_command_is_told_though_more_bytes_keep_coming() -> None:
+async def test_incomplete_command_times_out_despite_further_bytes() -> None:
     with SocketHarness() as harness:
         client = await harness.client()
-        client.send(m.query(read_text(IDS[0]))[:20])
+        client.send(m.query(read_query(REQUEST_IDS[0]))[:20])
         await harness.poll_once()
         for _ in range(30):
             if b"SFATAL" in client.read():
--- a/tests/platform/test_endpoint_clock.py
+++ b/tests/platform/test_endpoint_clock.py
@@ -1,4 +1,4 @@
-"""What positions show of this machine's wall clock, and what they don't."""
+"""Estimation of the local clock's offset from reported positions."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 HOUR_US = 3600 * SEC
 
 
-class Positions:
-    """Tells a clock positions, each answered 5 ms after it was asked for."""
+class PositionReports:
+    """Reports positions to a clock, each 5 ms after its query."""
 
     def __init__(self) -> None:
         self.clock = EndpointClock()
         self.now_us = START_US
 
-    def tell(
-        self, ahead_us: int, endpoint: str = "p", is_primary: bool = True, held_up_us: int = 0, times: int = 1
+    def report(
+        self, ahead_us: int, endpoint: str = "p", is_primary: bool = True, held_up_us: int = 0, count: int = 1
     ) -> int:
-        """Tell positions so far ahead of the clock when they were given; return what that changed in all."""
+        """Report positions that were `ahead_us` ahead of the clock; return the total change of the offset."""
         changed_us = 0
-        for _ in range(times):
+        for _ in range(count):
             asked_us = self.now_us
             self.now_us += 5 * MS
             position_us = self.now_us + ahead_us
@@ -32,52 +32,52 @@
 
 
 @pytest.mark.parametrize("step_us", [150 * MS, 3 * SEC, HOUR_US])
-def test_positions_in_the_future_that_agree_show_a_clock_that_is_behind(step_us: int) -> None:
-    positions = Positions()
-    assert positions.tell(step_us, times=2) == 0
-    assert positions.tell(step_us) == pytest.approx(step_us, abs=10 * MS)
+def test_agreeing_future_positions_reveal_clock_behind(step_us: int) -> None:
+    positions = PositionReports()
+    assert positions.report(step_us, count=2) == 0
+    assert positions.report(step_us) == pytest.approx(step_us, abs=10 * MS)
     assert positions.clock.is_plausible(positions.now_us + step_us, positions.now_us)
-    assert abs(positions.tell(step_us, times=20)) <= 10 * MS  # they are present now
+    assert abs(positions.report(step_us, count=20)) <= 10 * MS  # they now match the adjusted clock
 
 
-def test_a_position_in_the_future_says_nothing_before_the_step_is_known() -> None:
-    positions = Positions()
+def test_future_position_is_implausible_before_offset_is_known() -> None:
+    positions = PositionReports()
     assert not positions.clock.is_plausible(positions.now_us + 3 * SEC, positions.now_us)
     assert positions.clock.is_plausible(positions.now_us + 50 * MS, positions.now_us)
 
 
-def test_old_positions_of_primaries_that_agree_show_a_clock_that_is_far_ahead() -> None:
-    positions = Positions()
-    changes = [positions.tell(-HOUR_US, "pq"[n % 2]) for n in range(SAMPLE_COUNT)]
+def test_agreeing_old_primary_positions_reveal_clock_far_ahead() -> None:
+    positions = PositionReports()
+    changes = [positions.report(-HOUR_US, "pq"[n % 2]) for n in range(SAMPLE_COUNT)]
     assert sum(changes) == pytest.approx(-HOUR_US, abs=100 * MS)
-    # What is left is on the safe side: the clock is not behind.
+    # The remaining offset is on the safe side: the clock is not behind.
     assert positions.clock.to_driver_us(positions.now_us - HOUR_US) <= positions.now_us
 
 
-def test_spoilt_positions_among_sound_ones_move_no_clock() -> None:
-    positions = Positions()
+def test_corrupt_positions_do_not_change_offset() -> None:
+    positions = PositionReports()
     for n in range(100):
         spoilt = n % 3 == 0
-        assert positions.tell((n + 1) * HOUR_US if spoilt else 0) == 0
+        assert positions.report((n + 1) * HOUR_US if spoilt else 0) == 0
     assert positions.clock.offset_us == 0
 
 
-def test_replicas_that_lag_and_a_primary_that_stands_still_move_no_clock() -> None:
-    positions = Positions()
-    assert positions.tell(-5 * SEC, "a", is_primary=False, times=50) == 0
+def test_lagging_replicas_and_stalled_primary_do_not_change_offset() -> None:
+    positions = PositionReports()
+    assert positions.report(-5 * SEC, "a", is_primary=False, count=50) == 0
     for n in range(50):
-        assert positions.tell(-n * 100 * MS) == 0
+        assert positions.report(-n * 100 * MS) == 0
 
 
-def test_primaries_of_several_groups_that_stand_still_together_move_no_clock() -> None:
-    """Danger: members of many groups hang at once, and all their positions stand still for seconds."""
-    positions = Positions()
+def test_stalled_primaries_of_several_groups_do_not_change_offset() -> None:
+    """Guards against mistaking an outage that stalls the positions of many groups for clock skew."""
+    positions = PositionReports()
     for n in range(300):
-        assert positions.tell(-n * 100 * MS, "pqr"[n % 3]) == 0
+        assert positions.report(-n * 100 * MS, "pqr"[n % 3]) == 0
 
 
-def test_a_process_that_was_held_up_reads_old_answers_and_moves_no_clock() -> None:
-    """Stopped for seconds, it finds the answers of all that it asked before."""
-    positions = Positions()
+def test_replies_read_after_suspension_do_not_change_offset() -> None:
+    """After a suspension of several seconds, replies to all earlier queries are pending."""
+    positions = PositionReports()
     for n in range(2 * SAMPLE_COUNT):
-        assert positions.tell(0, "pq"[n % 2], held_up_us=4 * SEC) == 0
+        assert positions.report(0, "pq"[n % 2], held_up_us=4 * SEC) == 0
--- a/tests/platform/test_planted.py
+++ b/tests/platform/test_planted.py
@@ -1,4 +1,4 @@
-"""Bugs planted into the driver: for each there is a test of a crossing that fails with it."""
+"""Mutation tests: each fault injected into the driver must make the test that covers it fail."""
 
 from __future__ import annotations
 
@@ -30,212 +30,212 @@
 from tests.routing import test_layout
 
 Patch = pytest.MonkeyPatch
-BRIEF_S = 3  # a test that waits in vain has failed
+SHORT_TIMEOUT_S = 3  # for tests that fail by waiting for an event that never happens
 
 
-def close_without_drain(patch: Patch) -> None:
+def close_without_draining(patch: Patch) -> None:
     patch.setattr(Transport, "write_eof", Transport.close)
 
 
-def answer_dropped_while_pending(patch: Patch) -> None:
+def drop_pending_answer(patch: Patch) -> None:
     finish = Transport.write_eof
 
-    def planted(transport: Transport) -> None:
+    def faulty(transport: Transport) -> None:
         transport._write_buffer.clear()
         finish(transport)
 
-    patch.setattr(Transport, "write_eof", planted)
+    patch.setattr(Transport, "write_eof", faulty)
     patch.setattr(ClientConnection, "is_idle", property(lambda client: not client.commands))
 
 
-def deadline_not_cut_at_sigterm(patch: Patch) -> None:
+def keep_deadlines_at_sigterm(patch: Patch) -> None:
     patch.setattr(PlatformDriver, "begin_shutdown", lambda driver, _=0: driver.shutdown.begin(driver.now()))
 
 
-def stale_list_accepted(patch: Patch) -> None:
+def accept_stale_list(patch: Patch) -> None:
     accept = Discovery._accept_list
 
-    def planted(it: Discovery, body: bytes, _accepted_before: int) -> None:
-        accept(it, body, it._accepted_lists)
+    def faulty(client: Discovery, body: bytes, _accepted_before: int) -> None:
+        accept(client, body, client._accepted_lists)
 
-    patch.setattr(Discovery, "_accept_list", planted)
+    patch.setattr(Discovery, "_accept_list", faulty)
 
 
-def watch_never_times_out(patch: Patch) -> None:
+def disable_watch_timeout(patch: Patch) -> None:
     patch.setattr(discovery, "RESPONSE_TIMEOUT_US", 3_600_000_000)
 
 
-def open_watch_closed_by_subscribing(patch: Patch) -> None:
-    patch.setattr(Discovery, "subscribe", lambda it, _enabled: it._open_watch())
+def reopen_watch_on_subscribe(patch: Patch) -> None:
+    patch.setattr(Discovery, "subscribe", lambda client, _enabled: client._open_watch())
 
 
-def list_of_the_old_address_accepted(patch: Patch) -> None:
+def accept_list_of_old_address(patch: Patch) -> None:
     move = Discovery.change_address
 
-    def planted(it: Discovery, address: tuple[str, int]) -> None:
-        told = it._on_update
-        it._on_update = lambda kind, endpoints: told(kind, endpoints and reborn(endpoints))
-        move(it, address)
+    def faulty(client: Discovery, address: tuple[str, int]) -> None:
+        on_update = client._on_update
+        client._on_update = lambda kind, endpoints: on_update(kind, endpoints and as_newer_version(endpoints))
+        move(client, address)
 
-    def reborn(endpoints: EndpointList) -> EndpointList:
+    def as_newer_version(endpoints: EndpointList) -> EndpointList:
         return EndpointList(9, True, endpoints.endpoints, endpoints.addresses, 0)
 
-    async def fetch(it: Discovery) -> None:
-        async with await it._connect() as connection:
-            it._accept_list(await connection.get(discovery.PATH), it._accepted_lists)
+    async def fetch(client: Discovery) -> None:
+        async with await client._connect() as connection:
+            client._accept_list(await connection.get(discovery.PATH), client._accepted_lists)
 
     patch.setattr(Discovery, "_fetch", fetch)
-    patch.setattr(Discovery, "change_address", planted)
+    patch.setattr(Discovery, "change_address", faulty)
 
 
-def retry_after_the_client_left(patch: Patch) -> None:
-    def planted(driver: PlatformDriver, command: Command) -> None:
+def ignore_client_disconnect(patch: Patch) -> None:
+    def faulty(driver: PlatformDriver, command: Command) -> None:
         if command.request_id is not None:
             driver.log.info("gone", request=command.request_id)
 
-    patch.setattr(PlatformDriver, "client_disconnected", planted)
+    patch.setattr(PlatformDriver, "client_disconnected", faulty)
 
 
-def client_disconnect_read_after_its_request(patch: Patch) -> None:
+def process_requests_before_disconnect(patch: Patch) -> None:
     patch.setattr(ClientConnection, "eof_is_disconnect", False)
 
 
-def client_not_looked_at_before_a_write(patch: Patch) -> None:
+def skip_client_check_before_write(patch: Patch) -> None:
     patch.setattr(ClientConnection, "has_disconnected", lambda _: False)
 
 
-def window_not_asked_when_written(patch: Patch) -> None:
+def skip_deduplication_window_check(patch: Patch) -> None:
     patch.setattr(RetryPolicy, "confirms_send", lambda *_: True)
 
 
-def ramp_forgotten_at_restart(patch: Patch) -> None:
+def skip_slow_start_after_restart(patch: Patch) -> None:
     update = EndpointTracker.update_endpoint
 
-    def planted(tracker: EndpointTracker, info: Endpoint) -> None:
+    def faulty(tracker: EndpointTracker, info: Endpoint) -> None:
         before = tracker.state.endpoints.get(info.id)
         warming_since_us = before.warming_since_us if before else None
         update(tracker, info)
         if warming_since_us is not None:
             tracker.state.endpoints[info.id].warming_since_us = warming_since_us
 
-    patch.setattr(EndpointTracker, "update_endpoint", planted)
+    patch.setattr(EndpointTracker, "update_endpoint", faulty)
 
 
-def fitness_not_asked_when_written(patch: Patch) -> None:
+def skip_send_confirmation(patch: Patch) -> None:
     patch.setattr(Router, "confirm_send", lambda *_: True)
 
 
-def lost_writes_forgotten(patch: Patch) -> None:
+def ignore_commit_of_lost_write(patch: Patch) -> None:
     record = RouterState.record_commit
 
-    def planted(state: RouterState, request: RequestState, commit_us: int) -> None:
+    def faulty(state: RouterState, request: RequestState, commit_us: int) -> None:
         if commit_us != state.now_us:
             record(state, request, commit_us)
 
-    patch.setattr(RouterState, "record_commit", planted)
+    patch.setattr(RouterState, "record_commit", faulty)
 
 
-def one_burst_accepted_before_the_listener_closes(patch: Patch) -> None:
+def accept_only_one_burst_on_close(patch: Patch) -> None:
     accept = Acceptor._accept
 
-    def planted(acceptor: Acceptor, _max_connections: int) -> bool:
+    def faulty(acceptor: Acceptor, _max_connections: int) -> bool:
         accept(acceptor, Acceptor.ACCEPTS_PER_EVENT)
         return True
 
-    patch.setattr(Acceptor, "_accept", planted)
+    patch.setattr(Acceptor, "_accept", faulty)
 
 
-def busy_connections_end_with_the_answer(patch: Patch) -> None:
-    def planted(client: ClientConnection) -> bool:
+def close_connections_with_unread_input(patch: Patch) -> None:
+    def faulty(client: ClientConnection) -> bool:
         return not client.commands and not client._protocol.buffered
 
-    patch.setattr(ClientConnection, "is_idle", property(planted))
+    patch.setattr(ClientConnection, "is_idle", property(faulty))
 
 
-def idle_clients_never_evicted(patch: Patch) -> None:
+def disable_idle_client_eviction(patch: Patch) -> None:
     patch.setattr(ClientListener, "_evict_one", lambda _listener, _now: False)
 
 
-PLANTED: list[tuple[Callable[[Patch], None], Callable[..., Any]]] = [
+INJECTED_FAULTS: list[tuple[Callable[[Patch], None], Callable[..., Any]]] = [
     (
-        close_without_drain,
-        test_crossings.test_a_request_that_crosses_the_end_of_its_connection_meets_an_end_and_no_reset,
+        close_without_draining,
+        test_crossings.test_request_sent_during_close_gets_fin_not_reset,
     ),
     (
-        answer_dropped_while_pending,
-        partial(test_crossings.test_an_answer_that_is_half_out_leaves_whole, True),
+        drop_pending_answer,
+        partial(test_crossings.test_partially_sent_answer_is_completed_before_close, True),
     ),
     (
-        deadline_not_cut_at_sigterm,
-        test_crossings.test_a_request_taken_before_sigterm_has_its_answer_before_the_kill,
+        keep_deadlines_at_sigterm,
+        test_crossings.test_request_accepted_before_sigterm_is_answered_before_kill,
     ),
     (
-        deadline_not_cut_at_sigterm,
-        test_crossings.test_the_driver_wakes_itself_for_the_last_steps_of_a_shutdown,
+        keep_deadlines_at_sigterm,
+        test_crossings.test_driver_schedules_wakeups_for_last_shutdown_steps,
     ),
-    (stale_list_accepted, test_discovery.test_a_whole_list_that_comes_late_does_not_undo_a_newer_change),
+    (accept_stale_list, test_discovery.test_late_snapshot_does_not_override_newer_delta),
     (
-        watch_never_times_out,
-        test_discovery.test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told,
+        disable_watch_timeout,
+        test_discovery.test_silent_watch_is_reopened_before_missed_changes_count_as_notified,
     ),
     (
-        open_watch_closed_by_subscribing,
-        test_discovery.test_a_watch_that_is_open_stays_when_one_is_asked_for,
+        reopen_watch_on_subscribe,
+        test_discovery.test_subscribing_again_keeps_open_watch,
     ),
     (
-        list_of_the_old_address_accepted,
-        test_discovery.test_a_list_asked_for_at_the_old_address_is_asked_for_at_the_new_one,
+        accept_list_of_old_address,
+        test_discovery.test_poll_is_repeated_after_address_change,
     ),
     (
-        retry_after_the_client_left,
-        test_crossings.test_a_client_that_left_in_the_round_of_its_members_reset_is_not_tried_again,
+        ignore_client_disconnect,
+        test_crossings.test_no_retry_if_client_disconnect_coincides_with_endpoint_reset,
     ),
     (
-        client_disconnect_read_after_its_request,
-        test_crossings.test_a_request_read_together_with_its_clients_end_is_not_sent_on,
+        process_requests_before_disconnect,
+        test_crossings.test_request_read_together_with_client_disconnect_is_not_forwarded,
     ),
     (
-        client_not_looked_at_before_a_write,
+        skip_client_check_before_write,
         partial(
-            test_crossings.test_a_client_that_has_left_gets_no_attempt_on_a_connection_that_comes_up,
+            test_crossings.test_no_attempt_for_disconnected_client_on_new_connection,
             "before the client left",
         ),
     ),
     (
-        window_not_asked_when_written,
+        skip_deduplication_window_check,
         routing_crossings.test_send_of_a_keyed_repeat_is_confirmed_only_within_the_window_of_its_key,
     ),
     (
-        ramp_forgotten_at_restart,
+        skip_slow_start_after_restart,
         routing_crossings.test_endpoint_that_restarted_while_others_serve_warms_up_again,
     ),
     (
-        fitness_not_asked_when_written,
-        test_crossings.test_a_read_is_not_written_once_its_session_was_answered_a_newer_write,
+        skip_send_confirmation,
+        test_crossings.test_read_is_not_sent_to_replica_behind_newer_session_write,
     ),
     (
-        lost_writes_forgotten,
+        ignore_commit_of_lost_write,
         partial(
             routing_crossings.test_session_read_after_a_write_that_may_have_been_executed_needs_its_commit,
             Outcome.RESET,
         ),
     ),
     (
-        one_burst_accepted_before_the_listener_closes,
-        test_crossings.test_connections_that_the_kernel_holds_when_the_door_closes_are_ended_in_order,
+        accept_only_one_burst_on_close,
+        test_crossings.test_backlogged_connections_are_closed_gracefully_with_listener,
     ),
     (
-        busy_connections_end_with_the_answer,
-        test_crossings.test_a_last_command_of_a_busy_connection_is_answered_before_its_end,
+        close_connections_with_unread_input,
+        test_crossings.test_last_command_on_busy_connection_is_answered_before_close,
     ),
     (
-        idle_clients_never_evicted,
-        test_crossings.test_idle_clients_that_fill_the_descriptors_make_room_for_one_that_asks,
+        disable_idle_client_eviction,
+        test_crossings.test_idle_clients_are_evicted_for_new_client,
     ),
 ]
 
 
-def play(test: Callable[..., Any]) -> None:
+def run_test(test: Callable[..., Any]) -> None:
     inner = test.func if isinstance(test, partial) else test
     if not inspect.iscoroutinefunction(inner):
         test()
@@ -250,22 +250,22 @@
 
 
 @pytest.mark.parametrize(
-    "plant, test",
-    PLANTED,
-    ids=[f"{plant.__name__}-{number}" for number, (plant, _) in enumerate(PLANTED)],
+    "inject, test",
+    INJECTED_FAULTS,
+    ids=[f"{inject.__name__}-{number}" for number, (inject, _) in enumerate(INJECTED_FAULTS)],
 )
-def test_a_planted_bug_is_found(
-    plant: Callable[[Patch], None], test: Callable[..., Any], monkeypatch: Patch
+def test_injected_fault_fails_its_test(
+    inject: Callable[[Patch], None], test: Callable[..., Any], monkeypatch: Patch
 ) -> None:
-    plant(monkeypatch)
+    inject(monkeypatch)
     for module in (socket_harness, test_discovery):
-        monkeypatch.setattr(module, "TIMEOUT_S", BRIEF_S)
+        monkeypatch.setattr(module, "TIMEOUT_S", SHORT_TIMEOUT_S)
     with pytest.raises((AssertionError, trio.TooSlowError, ExceptionGroup, ConnectionError, BrokenPipeError)):
-        play(test)
+        run_test(test)
 
 
-def test_unplanted_they_pass() -> None:
-    """The harness itself does not fail them."""
-    for _, test in PLANTED:
-        play(test)
+def test_tests_pass_without_injected_faults() -> None:
+    """Without injected faults the tests must pass when run this way."""
+    for _, test in INJECTED_FAULTS:
+        run_test(test)
     assert test_layout.POLICY
--- a/tests/platform/test_wall_clock.py
+++ b/tests/platform/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A driver whose wall clock was stepped before it started: positions are by the clocks of other machines."""
+"""Bounded reads by a driver whose wall clock is off at start, while positions use other machines' clocks."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     SETTINGS,
     EventHarness,
     FakeTransport,
-    read_text,
-    row,
-    write_text,
+    read_query,
+    row_reply,
+    write_query,
 )
 
 BOUND_S = 0.3
@@ -27,7 +27,7 @@
     return {**SETTINGS, "specifics": {**specifics, "lag_allowed_s": [BOUND_S, 0.0, 0.0]}}
 
 
-class StepHarness(EventHarness):
+class SkewedClockHarness(EventHarness):
     """A driver whose clock is `behind_us` behind that of all endpoints."""
 
     def __init__(self, behind_us: int) -> None:
@@ -40,11 +40,11 @@
         return f"{self._count:016x}"
 
     def position_ms(self, lag_us: int = 0) -> int:
-        """The position of an endpoint so far behind, on its own clock."""
+        """Return the position of an endpoint with this lag, on its own clock."""
         return (self.time + self.behind_us - lag_us) // 1000
 
     def answer_all(self, replica_lag_us: int) -> list[int]:
-        """Answer what is out as the endpoints would; return the ports that were asked."""
+        """Answer all pending queries as the endpoints would; return the ports of the endpoints queried."""
         asked = []
         for port, transport in self.opened:
             if transport not in self.busy_transports():
@@ -60,14 +60,14 @@
         lag_us = 0 if is_primary else replica_lag_us
         if b"SHOW pressure" in query:
             value = b"x0=%.6f,x1=%d,queue=0" % (self.position_ms(lag_us) / 1000, is_primary)
-            self.feed(transport, row(value))
+            self.feed(transport, row_reply(value))
             return
         role = "primary" if is_primary else "standby"
         value = FRESH if lag_us < BOUND_S * SEC else STALE
-        self.feed(transport, row(value, role, self.position_ms(lag_us)))
+        self.feed(transport, row_reply(value, role, self.position_ms(lag_us)))
 
-    def ask(self, text: bytes, replica_lag_us: int) -> bytes:
-        """Ask as a client, with all that the driver asks meanwhile; return the answer."""
+    def execute(self, text: bytes, replica_lag_us: int) -> bytes:
+        """Execute a client's statement, answering the driver's queries meanwhile; return the answer."""
         client = self.client(text)
         answer = b""
         for _ in range(100):
@@ -81,27 +81,27 @@
 
 
 @pytest.mark.parametrize("behind_us", [0, 3 * SEC, 3600 * SEC, -3 * SEC, -3600 * SEC])
-def test_no_read_is_older_than_its_bound_whatever_the_wall_clock_was_at_the_start(behind_us: int) -> None:
-    """Replicas lag as much as the clock was stepped, so that they look fresh to whoever believes it."""
-    harness = StepHarness(behind_us)
+def test_bounded_reads_respect_their_bound_despite_clock_skew(behind_us: int) -> None:
+    """Replicas lag by the clock's offset, so that they appear fresh on the uncorrected clock."""
+    harness = SkewedClockHarness(behind_us)
     lag_us = abs(behind_us) or 3 * SEC
     for _ in range(10):
-        harness.ask(write_text(harness.new_id()), lag_us)
+        harness.execute(write_query(harness.new_id()), lag_us)
         harness.advance_us(100 * MS)
     for _ in range(50):
-        assert STALE not in harness.ask(read_text(harness.new_id(), span=1500), lag_us)
+        assert STALE not in harness.execute(read_query(harness.new_id(), timeout_ms=1500), lag_us)
         harness.advance_us(50 * MS)
 
 
 @pytest.mark.parametrize("behind_us", [0, 3 * SEC, 3600 * SEC, -3600 * SEC])
-def test_replicas_serve_bounded_reads_again_once_the_step_is_known(behind_us: int) -> None:
-    harness = StepHarness(behind_us)
+def test_replicas_serve_bounded_reads_once_clock_skew_is_known(behind_us: int) -> None:
+    harness = SkewedClockHarness(behind_us)
     for _ in range(10):
-        harness.ask(write_text(harness.new_id()), 20 * MS)
+        harness.execute(write_query(harness.new_id()), 20 * MS)
         harness.advance_us(100 * MS)
     by_replica = 0
     for _ in range(40):
-        client = harness.client(read_text(harness.new_id(), span=1500))
+        client = harness.client(read_query(harness.new_id(), timeout_ms=1500))
         for _ in range(20):
             by_replica += 1002 in harness.answer_all(20 * MS)
             harness.advance_us(5 * MS)
