--- a/tests/platform/test_endpoint_clock.py
+++ b/tests/platform/test_endpoint_clock.py
@@ -57,8 +57,8 @@
 def test_corrupt_positions_do_not_change_offset() -> None:
     positions = PositionReports()
     for n in range(100):
-        spoilt = n % 3 == 0
-        assert positions.report((n + 1) * HOUR_US if spoilt else 0) == 0
+        corrupt = n % 3 == 0
+        assert positions.report((n + 1) * HOUR_US if corrupt else 0) == 0
     assert positions.clock.offset_us == 0
 
 
--- a/tests/platform/test_shutdown.py
+++ b/tests/platform/test_shutdown.py
@@ -123,15 +123,15 @@
 from juniperreel.platform.__main__ import SIGNALS
 from juniperreel.platform import run
 from juniperreel.platform.program import Program
-start_for_real, attempts = Program.start, []
-def failing_at_first(program):
+original_start, attempts = Program.start, []
+def fail_initially(program):
     attempts.append(1)
     if len(attempts) == 2:
         os.kill(os.getpid(), signal.SIGTERM)
     if len(attempts) < 24:
         raise OSError(errno.ENOBUFS, "injected")
-    start_for_real(program)
-Program.start = failing_at_first
+    original_start(program)
+Program.start = fail_initially
 sys.exit(run.main(SIGNALS))
 """
 
@@ -158,12 +158,12 @@
 from juniperreel.platform.__main__ import SIGNALS
 from juniperreel.platform.run import main
 set_option, calls = socket.socket.setsockopt, []
-def failing_at_first(self, *arguments):
+def fail_initially(self, *arguments):
     calls.append(1)
     if len(calls) < 4:
         raise OSError(errno.ENOBUFS, "injected")
     return set_option(self, *arguments)
-socket.socket.setsockopt = failing_at_first
+socket.socket.setsockopt = fail_initially
 sys.exit(main(SIGNALS))
 """
 
