--- a/juniperreel/cli/call.py
+++ b/juniperreel/cli/call.py
@@ -111,15 +111,17 @@
 @click.argument("cls", metavar="CLASS")
 @click.argument("statement")
 @click.argument("parameters", nargs=-1)
-@click.option("--group", type=int, help="The group; or else --key.")
-@click.option("--key", help="Hashed to a group.")
-@click.option("--tenant", default="", help="The tenant.")
-@click.option("--session", default="", help="The session's name.")
-@click.option("--idempotency-key", help="For a keyed class; one is made up if none is given.")
+@click.option("--group", type=int, help="Number of the group; ignored if --key is given.")
+@click.option("--key", help="Key whose hash selects the group.")
+@click.option("--tenant", default="", help="Name of the tenant.")
+@click.option("--session", default="", help="Name of the session.")
+@click.option("--idempotency-key", help="Idempotency key, for a keyed class; random by default.")
 @click.option(
-    "--token", type=click.Path(path_type=Path, dir_okay=False), help="File that keeps the causal token."
+    "--token",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="File in which the causal token is kept between calls.",
 )
-@click.option("--timeout", type=float, default=5.0, show_default=True, help="Seconds.")
+@click.option("--timeout", type=float, default=5.0, show_default=True, help="Timeout in seconds.")
 def call(
     edge: str,
     cls: str,
--- a/juniperreel/cli/configd.py
+++ b/juniperreel/cli/configd.py
@@ -153,10 +153,15 @@
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
-@click.option("--create", "mode", flag_value=CREATE, help="A new cluster, with the members of the FILE.")
-@click.option("--join", "mode", flag_value=JOIN, help="An empty directory, for a cluster that will add it.")
+@click.option("--create", "mode", flag_value=CREATE, help="Create a cluster with the members listed in FILE.")
+@click.option(
+    "--join",
+    "mode",
+    flag_value=JOIN,
+    help="Create an empty directory, for an instance that is to be added to a cluster.",
+)
 def configd(file: Path, mode: str | None) -> None:
-    """Serve the configuration as the settings FILE says, until SIGTERM."""
+    """Run an instance of the configuration cluster from a settings FILE, until SIGTERM."""
     try:
         settings = read_instance(file)
         storage = open_storage(settings, mode or OPEN)
@@ -216,7 +221,7 @@
     multiple=True,
     required=True,
     metavar="HOST:PORT",
-    help="An instance; may be repeated.",
+    help="Address of an instance; may be repeated.",
 )
 @click.pass_context
 def config(context: click.Context, addresses: tuple[str, ...]) -> None:
@@ -241,7 +246,7 @@
 @config.command()
 @click.pass_context
 def get(context: click.Context) -> None:
-    """Print the newest version."""
+    """Print the latest version of the configuration."""
     print_configuration(run_with_client(instance_addresses(context), lambda client: client.get()))
 
 
@@ -260,10 +265,10 @@
 
 @config.command(name="set")
 @click.argument("changes", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--expect", type=int, help="Only if this version is in force.")
+@click.option("--expect", type=int, help="Apply the changes only if this is the current version.")
 @click.pass_context
 def set_(context: click.Context, changes: Path, expect: int | None) -> None:
-    """Apply the CHANGES of a JSON file, all of them or none."""
+    """Apply the changes in the JSON file CHANGES atomically."""
     try:
         decoded_changes = msgspec.json.decode(changes.read_bytes(), type=list[commands.ConfigurationChange])
     except msgspec.DecodeError as error:
@@ -275,7 +280,7 @@
 @click.argument("edge", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.pass_context
 def seed(context: click.Context, edge: Path) -> None:
-    """Make version 1 from the groups, classes and tenants of an edge's settings file."""
+    """Create version 1 from the groups, classes and tenants of the edge settings file EDGE."""
     try:
         settings = read_edge(edge)
     except SettingsError as error:
@@ -310,10 +315,15 @@
 
 
 @config.command()
-@click.option("--seconds", type=float, default=float("inf"), help="Stop after these.")
+@click.option(
+    "--seconds",
+    type=float,
+    default=float("inf"),
+    help="Stop after this many seconds; runs until interrupted by default.",
+)
 @click.pass_context
 def watch(context: click.Context, seconds: float) -> None:
-    """Print each version as it is committed."""
+    """Print each version of the configuration as it is committed."""
 
     async def _watch(client: ConfigurationClient) -> None:
         with trio.move_on_after(seconds):
@@ -325,7 +335,7 @@
 @config.command()
 @click.pass_context
 def status(context: click.Context) -> None:
-    """What each instance says of itself."""
+    """Print the status that each instance reports."""
     run_with_client(instance_addresses(context), print_statuses)
 
 
@@ -356,7 +366,10 @@
 @click.argument("name")
 @click.pass_context
 def members(context: click.Context, change: str, name: str) -> None:
-    """Change the instances: NAME is name@host:port. A new one is added, then promoted."""
+    """Change the membership of the cluster. NAME is name@host:port.
+
+    A new instance is first added as a learner and then promoted to a voter.
+    """
     request = pb.ChangeInstancesRequest(change=change, name=name).SerializeToString()
     run_with_client(instance_addresses(context), partial(change_membership, request))
     click.echo("done")
--- a/juniperreel/cli/demo.py
+++ b/juniperreel/cli/demo.py
@@ -90,21 +90,31 @@
 @click.command()
 @click.argument("script", required=False, type=click.Path(path_type=Path, exists=True, dir_okay=False))
 @click.option(
-    "--careless", is_flag=True, help="Play the day against edges that pick at random and retry blindly."
+    "--careless",
+    is_flag=True,
+    help="Run naive proxies, which select endpoints at random and retry unconditionally, in place of edges.",
 )
 @click.option(
-    "--record", type=click.Path(path_type=Path, dir_okay=False), help="Keep the recording in this file."
+    "--record",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="File to which the recording is written.",
 )
 @click.option(
     "--code",
     type=click.Path(path_type=Path, exists=True, file_okay=False, resolve_path=True),
-    help="Play edges of another tree.",
+    help="Run the edges of another source tree.",
 )
-@click.option("--raft", is_flag=True, help="Members from a configuration cluster, not the host list.")
-@click.option("--logs", type=click.Path(path_type=Path, file_okay=False), help="Keep settings and logs here.")
-@click.option("--seed", type=int, help="Another seed than the script's.")
-@click.option("--last", type=float, help="Another length, in seconds.")
-@click.option("--quiet", is_flag=True, help="No live lines.")
+@click.option(
+    "--raft", is_flag=True, help="Take endpoints from a configuration cluster in place of the endpoint list."
+)
+@click.option(
+    "--logs",
+    type=click.Path(path_type=Path, file_okay=False),
+    help="Directory in which settings and logs are kept.",
+)
+@click.option("--seed", type=int, help="Seed in place of the script's.")
+@click.option("--last", type=float, help="Duration in seconds, in place of the script's.")
+@click.option("--quiet", is_flag=True, help="Print no progress lines.")
 def demo(
     script: Path | None,
     careless: bool,
@@ -116,7 +126,10 @@
     last: float | None,
     quiet: bool,
 ) -> None:
-    """Play a scripted day on loopback, then judge it from its traffic."""
+    """Run a SCRIPT of load and faults on loopback and check the recorded traffic.
+
+    Without SCRIPT, the packaged default script is run.
+    """
     parsed_script = parse_script_or_exit(read_script(script))
     if seed is not None:
         parsed_script.settings["seed"] = seed
@@ -146,5 +159,5 @@
 @click.command()
 @click.argument("recording", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 def verify(recording: Path) -> None:
-    """Judge the five rules from a RECORDING."""
+    """Check a RECORDING against the five rules."""
     print_report_and_exit(read_recording_or_exit(recording))
--- a/juniperreel/cli/load.py
+++ b/juniperreel/cli/load.py
@@ -35,16 +35,23 @@
 
 @click.group(cls=DefaultRunGroup)
 def load() -> None:
-    """Put load on any address that offers the service, as a plan FILE says."""
+    """Generate load from a plan FILE against any server of the Records service."""
 
 
 @load.command("run")
 @click.argument("file", type=INPUT_FILE)
-@click.option("--target", "targets", multiple=True, help="HOST:PORT in place of the plan's.")
-@click.option("--out", type=OUTPUT_FILE, help="Keep the result here, as JSON lines.")
-@click.option("--plot", type=OUTPUT_FILE, help="Draw the result into this PNG.")
-@click.option("--watch", multiple=True, metavar="NAME=PID", help="Tell the CPU of this process as well.")
-@click.option("--quiet", is_flag=True, help="No live lines.")
+@click.option(
+    "--target", "targets", multiple=True, help="HOST:PORT in place of the plan's targets; may be repeated."
+)
+@click.option("--out", type=OUTPUT_FILE, help="File to which the result is written, as JSON Lines.")
+@click.option("--plot", type=OUTPUT_FILE, help="PNG file to which plots of the result are written.")
+@click.option(
+    "--watch",
+    multiple=True,
+    metavar="NAME=PID",
+    help="Also report the CPU usage of this process; may be repeated.",
+)
+@click.option("--quiet", is_flag=True, help="Print no progress lines.")
 def run_plan(
     file: Path,
     targets: tuple[str, ...],
@@ -53,7 +60,7 @@
     watch: tuple[str, ...],
     quiet: bool,
 ) -> None:
-    """Run the plan FILE; tell what was offered and served, and judge rule 1 from the clients' side."""
+    """Run the plan FILE, report offered and served load, and check rule 1 from the clients' side."""
     from juniperreel.load.plan import parse_plan
     from juniperreel.load.runner import run
     from juniperreel.settings import SettingsError
@@ -155,9 +162,9 @@
 
 @load.command()
 @click.argument("result", type=INPUT_FILE)
-@click.option("--plot", type=OUTPUT_FILE, help="Draw it into this PNG.")
+@click.option("--plot", type=OUTPUT_FILE, help="PNG file to which plots of the result are written.")
 def report(result: Path, plot: Path | None) -> None:
-    """Tell a RESULT again."""
+    """Print the report of a saved RESULT."""
     try:
         sys.exit(report_result(result, plot))
     except ValueError as error:
@@ -167,9 +174,9 @@
 
 @load.command()
 @click.argument("results", type=INPUT_FILE, nargs=-1, required=True)
-@click.option("--plot", type=OUTPUT_FILE, help="Draw them into this PNG.")
+@click.option("--plot", type=OUTPUT_FILE, help="PNG file to which plots of the results are written.")
 def compare(results: tuple[Path, ...], plot: Path | None) -> None:
-    """Set RESULTS side by side, stage by stage."""
+    """Compare RESULTS stage by stage."""
     from juniperreel.load.report import draw_plots
     from juniperreel.load.summary import format_table, load_result
 
--- a/juniperreel/cli/main.py
+++ b/juniperreel/cli/main.py
@@ -20,19 +20,21 @@
 
 
 LAZY_COMMANDS = {
-    "call": LazyCommand("call", "Send one STATEMENT of class CLS to the edge at ADDRESS."),
-    "config": LazyCommand("configd", "Look at and change the configuration."),
-    "configd": LazyCommand("configd", "Run one instance of the configuration, as the settings FILE says."),
-    "demo": LazyCommand("demo", "Play a scripted day on loopback, then judge it from its traffic."),
-    "load": LazyCommand("load", "Put load on any address that offers the service, as a plan FILE says."),
-    "pool": LazyCommand("pool", "Look at the pools of an edge whose members speak MySQL."),
-    "raft": LazyCommand("raft", "Look at Raft's core and at an instance's storage."),
-    "standins": LazyCommand("standins", "Start the members and the host list of a SCRIPT."),
+    "call": LazyCommand("call", "Send one STATEMENT of a CLASS to the EDGE and print its rows."),
+    "config": LazyCommand("configd", "Read and change the configuration."),
+    "configd": LazyCommand("configd", "Run an instance of the configuration cluster from a settings FILE."),
+    "demo": LazyCommand(
+        "demo", "Run a SCRIPT of load and faults on loopback and check the recorded traffic."
+    ),
+    "load": LazyCommand("load", "Generate load from a plan FILE against any server of the Records service."),
+    "pool": LazyCommand("pool", "Show the connection pools of an edge whose endpoints speak MySQL."),
+    "raft": LazyCommand("raft", "Check the Raft core; inspect or recover an instance's storage directory."),
+    "standins": LazyCommand("standins", "Run the fake endpoints and the endpoint list of a SCRIPT."),
     "statement": LazyCommand(
-        "statement", "Say how a statement's TEXT is read, where it may go, and its digest."
+        "statement", "Print how a statement's TEXT is classified, where it is routed, and its digest."
     ),
-    "trial": LazyCommand("trial", "Try several processes of the program together, with faults between them."),
-    "verify": LazyCommand("demo", "Judge the five rules from a RECORDING."),
+    "trial": LazyCommand("trial", "Run several drivers with injected faults and check the recorded traffic."),
+    "verify": LazyCommand("demo", "Check a RECORDING against the five rules."),
 }
 
 
@@ -62,13 +64,13 @@
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A database proxy that divides reads and writes across primaries and replicas."""
+    """A database proxy that routes reads and writes across primaries and replicas."""
 
 
 @main.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Read a settings FILE and say everything that is wrong with it."""
+    """Validate a settings FILE and print every error."""
     from juniperreel.cli.settings_file import read_settings_or_exit
 
     settings = read_settings_or_exit(file)
@@ -78,7 +80,7 @@
 @main.command()
 @click.argument("file", type=FILE)
 def edge(file: Path) -> None:
-    """Serve requests as the settings FILE says, until SIGTERM."""
+    """Serve requests as configured in the settings FILE, until SIGTERM."""
     import trio
 
     from juniperreel.cli.edge import run_edge
--- a/juniperreel/cli/pool.py
+++ b/juniperreel/cli/pool.py
@@ -99,14 +99,14 @@
 
 @click.group()
 def pool() -> None:
-    """Look at the pools of an edge whose members speak MySQL."""
+    """Show the connection pools of an edge whose endpoints speak MySQL."""
 
 
 @pool.command()
 @click.argument("address")
-@click.option("--watch", type=float, help="Look again every so many seconds, until interrupted.")
+@click.option("--watch", type=float, help="Refresh at this interval, in seconds, until interrupted.")
 def show(address: str, watch: float | None) -> None:
-    """Show connections, waiting and reasons from the metrics at ADDRESS."""
+    """Show connections, waiting requests and counters from the metrics of the edge at ADDRESS."""
     try:
         metrics = fetch_metrics(address)
         if not metrics.members:
--- a/juniperreel/cli/raft.py
+++ b/juniperreel/cli/raft.py
@@ -20,7 +20,7 @@
 
 @click.group()
 def raft() -> None:
-    """The consensus behind the configuration."""
+    """Check the Raft core; inspect or recover an instance's storage directory."""
 
 
 class ScheduleResult(NamedTuple):
@@ -42,7 +42,7 @@
 @raft.command()
 @click.argument("directory", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def inspect(directory: Path) -> None:
-    """What a stopped instance's DIRECTORY holds."""
+    """Print the contents of a stopped instance's storage DIRECTORY."""
     try:
         contents = inspect_directory(directory)
     except StorageError as error:
@@ -64,11 +64,11 @@
 
 @raft.command(name="rescue")
 @click.argument("directory", type=click.Path(path_type=Path, exists=True, file_okay=False))
-@click.option("--into", type=click.Path(path_type=Path), required=True, help="The new instance's directory.")
-@click.option("--cluster", required=True, help="The new cluster's name.")
-@click.option("--name", required=True, help="The new instance, name@host:port.")
+@click.option("--into", type=click.Path(path_type=Path), required=True, help="Directory of the new instance.")
+@click.option("--cluster", required=True, help="Name of the new cluster; must differ from the old.")
+@click.option("--name", required=True, help="Name of the new instance, as name@host:port.")
 def rescue_command(directory: Path, into: Path, cluster: str, name: str) -> None:
-    """Make a new cluster of one instance from a stopped one's DIRECTORY, when the quorum is lost for good."""
+    """Create a single-instance cluster from a stopped instance's DIRECTORY after permanent loss of quorum."""
     try:
         result = rescue(directory, into, cluster, name)
     except StorageError as error:
@@ -88,12 +88,14 @@
 
 
 @raft.command()
-@click.option("--schedules", default=10_000, show_default=True, help="How many seeds.")
-@click.option("--first", default=0, help="The first seed.")
-@click.option("--length", default=400, show_default=True, help="Operations of each.")
+@click.option(
+    "--schedules", default=10_000, show_default=True, help="Number of schedules, each with its own seed."
+)
+@click.option("--first", default=0, help="Seed of the first schedule.")
+@click.option("--length", default=400, show_default=True, help="Number of operations per schedule.")
 @click.option("--processes", default=8, show_default=True)
 def check(schedules: int, first: int, length: int, processes: int) -> None:
-    """Play seeded schedules with loss, crashes, partitions and membership changes; judge every step."""
+    """Run seeded schedules with loss, crashes, partitions and membership changes; check every step."""
     started_s = time.monotonic()
     total_schedules = 0
     failed = False
--- a/juniperreel/cli/standins.py
+++ b/juniperreel/cli/standins.py
@@ -59,13 +59,20 @@
 
 @click.command()
 @click.argument("script", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--port", type=int, default=0, help="Of the host list; any free one if not given.")
+@click.option("--port", type=int, default=0, help="Port of the endpoint list; a free port by default.")
 @click.option(
-    "--record", type=click.Path(path_type=Path, dir_okay=False), help="Keep what members saw in this file."
+    "--record",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="File to which the endpoints' recording is written.",
+)
+@click.option(
+    "--processes",
+    type=click.IntRange(1, 64),
+    default=1,
+    help="Number of processes over which the groups are spread.",
 )
-@click.option("--processes", type=click.IntRange(1, 64), default=1, help="Groups are spread over so many.")
 def standins(script: Path, port: int, record: Path | None, processes: int) -> None:
-    """Start the members and the host list of a SCRIPT and play its faults, until its end or Ctrl-C."""
+    """Run the fake endpoints and the endpoint list of a SCRIPT with its faults, until its end or Ctrl-C."""
     parsed_script = parse_script_or_exit(script.read_text(encoding="utf-8"))
     if processes > 1:
         run_in_processes(script, parsed_script, port, record, processes)
--- a/juniperreel/cli/statement.py
+++ b/juniperreel/cli/statement.py
@@ -28,12 +28,12 @@
 @click.option(
     "--settings",
     type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="An edge's settings: whether its members hold transactions, and which class the text has.",
+    help="Settings of an edge, which determine the class and whether endpoints support transactions.",
 )
-@click.option("--user", default="", help="For lines of the settings that match a user.")
-@click.option("--schema", default="", help="For lines of the settings that match a schema.")
+@click.option("--user", default="", help="User name to evaluate the `match` lines of the settings with.")
+@click.option("--schema", default="", help="Schema to evaluate the `match` lines of the settings with.")
 def statement(text: str, settings: Path | None, user: str, schema: str) -> None:
-    """Say how a statement's TEXT is read, where it may go, and its digest."""
+    """Print how a statement's TEXT is classified, where it is routed, and its digest."""
     data = text.encode()
     classification = classify_statement(data)
     print_classification(classification)
--- a/juniperreel/cli/trial.py
+++ b/juniperreel/cli/trial.py
@@ -98,16 +98,24 @@
     """Add the options of TrialOptions to a command, which receives them as `options`."""
 
     @click.option(
-        "--pause", type=click.FloatRange(min=0), default=0.15, help="Mean pause of a session, in seconds."
+        "--pause",
+        type=click.FloatRange(min=0),
+        default=0.15,
+        help="Mean pause of a session between requests, in seconds.",
     )
     @click.option(
         "--crews",
         type=click.IntRange(min=0),
         default=0,
-        help="So many processes of the rig for drivers and sessions, and more for members: for tens of "
-        "drivers and more. The script's rate holds, not --pause.",
+        help="Maximum number of testbed processes for drivers and sessions, plus others for endpoints; 0 "
+        "runs the testbed in one process. For tens of drivers or more. The script's rate applies, "
+        "not --pause.",
+    )
+    @click.option(
+        "--driver",
+        default="",
+        help="Program and arguments that start a driver, in place of the platform's own.",
     )
-    @click.option("--driver", default="", help="Start drivers by this file and its arguments instead.")
     @wraps(command)
     def _with_options(*args: Any, pause: float, crews: int, driver: str, **arguments: Any) -> None:
         command(*args, options=TrialOptions(pause, crews, parse_driver(driver)), **arguments)
@@ -155,21 +163,21 @@
 
 @click.group()
 def trial() -> None:
-    """Try several processes of the program together, with faults between them."""
+    """Run several drivers with injected faults and check the recorded traffic."""
 
 
 @trial.command()
 @click.argument("script", type=INPUT_FILE)
 @trial_options
-@click.option("--seed", type=int, help="Another seed than the script's.")
-@click.option("--logs", type=OUTPUT_FOLDER, help="Keep settings and logs here.")
-@click.option("--record", type=OUTPUT_FILE, help="Keep the recording here.")
+@click.option("--seed", type=int, help="Seed in place of the script's.")
+@click.option("--logs", type=OUTPUT_FOLDER, help="Directory in which settings and logs are kept.")
+@click.option("--record", type=OUTPUT_FILE, help="File to which the recording is written.")
 def run(
     script: Path, options: TrialOptions, seed: int | None, logs: Path | None, record: Path | None
 ) -> None:
-    """Play a SCRIPT against drivers of the platform, each a process, and judge what passed.
+    """Run a SCRIPT with each driver in a separate process and check the recorded traffic.
 
-    Exit status 1: a rule was broken; 2: the script can't be played.
+    Exit status 1: a rule was violated; 2: the script is invalid.
     """
     parsed_script = read_script_or_exit(script, seed)
     with tempfile.TemporaryDirectory() as temporary:
@@ -182,12 +190,24 @@
 @trial.command()
 @click.argument("script", type=INPUT_FILE)
 @trial_options
-@click.option("--seeds", type=click.IntRange(min=1), default=10, help="So many, from the script's on.")
-@click.option("--out", type=OUTPUT_FOLDER, default=Path("found"), help="Keeps what broke.")
+@click.option(
+    "--seeds",
+    type=click.IntRange(min=1),
+    default=10,
+    help="Number of seeds to run, from the script's upwards.",
+)
+@click.option(
+    "--out",
+    type=OUTPUT_FOLDER,
+    default=Path("found"),
+    help="Directory in which the files of the violating run are kept.",
+)
 def hunt(script: Path, options: TrialOptions, seeds: int, out: Path) -> None:
-    """Play a SCRIPT with one seed after another until a rule breaks; its recording, logs and script are kept.
+    """Run a SCRIPT with consecutive seeds until a rule is violated.
 
-    Exit status 1: one broke.
+    The recording, logs and script of the violating run are kept.
+
+    Exit status 1: a rule was violated.
     """
     first_seed = read_script_or_exit(script)["seed"]
     started_s = time.monotonic()
@@ -220,13 +240,17 @@
 @trial.command("shrink")
 @click.argument("script", type=INPUT_FILE)
 @trial_options
-@click.option("--rule", type=click.IntRange(1, 5), required=True, help="That is to stay broken.")
-@click.option("--plays", type=click.IntRange(min=1), default=30, help="At most so many.")
-@click.option("--out", type=OUTPUT_FILE, required=True, help="The smaller script.")
+@click.option(
+    "--rule", type=click.IntRange(1, 5), required=True, help="Number of the rule that must remain violated."
+)
+@click.option(
+    "--plays", type=click.IntRange(min=1), default=30, help="Maximum number of runs while shrinking."
+)
+@click.option("--out", type=OUTPUT_FILE, required=True, help="File to which the smaller script is written.")
 def shrink_script(script: Path, options: TrialOptions, rule: int, plays: int, out: Path) -> None:
-    """Make a SCRIPT that breaks a rule smaller, with the rule still broken.
+    """Reduce a SCRIPT that violates a rule to a smaller one that still violates it.
 
-    Exit status 1: it didn't break the rule to begin with.
+    Exit status 1: the unmodified script does not violate the rule.
     """
     parsed_script = read_script_or_exit(script)
     if not violates_rule(options, rule, parsed_script):
@@ -253,7 +277,7 @@
 @click.argument("recording", type=INPUT_FILE)
 @click.argument("out", type=OUTPUT_FILE)
 def picture(recording: Path, out: Path) -> None:
-    """Draw a RECORDING: replicas' work by second, what was served, the faults; OUT is a PNG."""
+    """Plot a RECORDING into the PNG file OUT: load per replica and second, fraction served, and faults."""
     try:
         draw_picture(read_recording_or_exit(recording), out)
     except ValueError as error:
@@ -264,10 +288,12 @@
 @trial.command("spread")
 @click.argument("recording", type=INPUT_FILE)
 @click.option(
-    "--step", type=click.FloatRange(min=0.1), help="Also each replica's share in steps of so many seconds."
+    "--step",
+    type=click.FloatRange(min=0.1),
+    help="Also print each replica's share per interval of this many seconds.",
 )
 def spread(recording: Path, step: float | None) -> None:
-    """How evenly replicas were loaded, from a RECORDING."""
+    """Print how evenly the load of a RECORDING was spread across replicas."""
     records = read_recording_or_exit(recording)
     for line in balance_table(records):
         click.echo(line)
