--- a/juniperreel/__init__.py
+++ b/juniperreel/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a query router for sharded, replicated databases."""
+"""Routing of queries to sharded, replicated databases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Import the router when it is first asked for: a process that starts has signals to handle before."""
+    """Import the router on first access: a starting process must install its signal handlers first."""
     if name != "Router":
         message = f"module {__name__!r} has no attribute {name!r}"
         raise AttributeError(message)
--- a/tests/cli/test_pool.py
+++ b/tests/cli/test_pool.py
@@ -17,20 +17,21 @@
 
 
 @pytest.fixture
-async def world(nursery: trio.Nursery, tmp_path: Path) -> Environment:
-    world: Environment = await nursery.start(Environment(tmp_path, "mysql-members 1").run)
-    return world
+async def environment(nursery: trio.Nursery, tmp_path: Path) -> Environment:
+    environment: Environment = await nursery.start(Environment(tmp_path, "mysql-members 1").run)
+    return environment
 
 
-async def test_pool_show_prints_members_of_an_edge_that_serves(
-    world: Environment, nursery: trio.Nursery
+async def test_pool_show_prints_endpoints_of_a_running_edge(
+    environment: Environment, nursery: trio.Nursery
 ) -> None:
-    http = HttpFrontend(world.edge.metrics.render, lambda: True)
+    http = HttpFrontend(environment.edge.metrics.render, lambda: True)
     listener = await TcpNetwork().listen("127.0.0.1", 0)
     port = await nursery.start(http.serve, listener)
     with trio.fail_after(20):
-        while "juniperreel_pool_most" not in world.edge.metrics.render().decode() or not world.metric(
-            "pool_most", member=world.primary.name
+        while (
+            "juniperreel_pool_most" not in environment.edge.metrics.render().decode()
+            or not environment.metric("pool_most", member=environment.primary.name)
         ):
             await trio.sleep(0.05)
 
@@ -40,10 +41,10 @@
         return result.output
 
     output = await trio.to_thread.run_sync(show_pools)
-    assert all(name in output for name in (*world.fleet.endpoints, "leased", "waiting", "32"))
+    assert all(name in output for name in (*environment.fleet.endpoints, "leased", "waiting", "32"))
 
 
-def test_pool_show_of_an_address_without_an_edge_ends_with_1() -> None:
+def test_pool_show_without_an_edge_at_the_address_exits_with_status_1() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
     result = CliRunner().invoke(main, ["pool", "show", f"127.0.0.1:{port}"])
--- a/tests/cli/test_trial.py
+++ b/tests/cli/test_trial.py
@@ -81,7 +81,7 @@
     assert list(out.iterdir()) == []
 
 
-def test_hunt_finds_a_planted_bug_and_shrink_reduces_its_script(tmp_path: Path) -> None:
+def test_hunt_finds_an_injected_bug_and_shrink_reduces_its_script(tmp_path: Path) -> None:
     (tmp_path / "short.day").write_text(STALE_READ_SCRIPT)
     (tmp_path / "unchecked_staleness.py").write_text(UNCHECKED_STALENESS_DRIVER)
     driver = ["--driver", str(tmp_path / "unchecked_staleness.py"), "--pause", "0.05"]
@@ -116,7 +116,7 @@
     assert (tmp_path / "picture.png").stat().st_size > 10_000, result.output
 
 
-def test_picture_without_requests_and_missing_driver_file_end_with_2(tmp_path: Path) -> None:
+def test_picture_without_requests_and_missing_driver_file_exit_with_status_2(tmp_path: Path) -> None:
     (tmp_path / "empty").write_text("")
     (tmp_path / "script").write_text(SCRIPT)
     result = CliRunner().invoke(main, ["trial", "picture", str(tmp_path / "empty"), str(tmp_path / "x.png")])
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -78,12 +78,12 @@
         .replace("deadline 4s", "deadline 0s")
         .replace("skew", "askew")
     )
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as error:
         parse_plan(invalid_plan.encode(), "plan")
-    assert "askew" in str(caught.value)
-    with pytest.raises(SettingsError) as caught:
+    assert "askew" in str(error.value)
+    with pytest.raises(SettingsError) as error:
         parse_plan(invalid_plan.replace("askew 1.0", "").encode(), "plan")
-    text = str(caught.value)
+    text = str(error.value)
     assert "closed" in text
     assert "deadline" in text
 
@@ -130,12 +130,12 @@
         write_result(tmp_path / "good", make_attempt(1), make_attempt(2, status=14, retry_after_ms=5))
     )
     assert check_responses(History.of(list(valid.records()))) == []
-    bad = load_result(
+    unanswered = load_result(
         write_result(
             tmp_path / "bad", make_attempt(1), make_attempt(2, status=4, local=True, took_us=2_000_000)
         )
     )
-    (violation,) = check_responses(History.of(list(bad.records())))
+    (violation,) = check_responses(History.of(list(unanswered.records())))
     assert "no answer" in violation.text
     late = load_result(write_result(tmp_path / "late", make_attempt(1, took_us=2_600_000)))
     assert "late" in check_responses(History.of(list(late.records())))[0].text
