--- a/tests/net/test_accept.py
+++ b/tests/net/test_accept.py
@@ -66,7 +66,7 @@
         assert await client_end.receive_some(1) == b""
 
 
-async def test_serve_connections_checks_capacity_after_after_accept() -> None:
+async def test_serve_connections_runs_after_accept_before_checking_capacity() -> None:
     _, server_end = trio.testing.memory_stream_pair()
     order: list[str] = []
 
