--- a/juniperreel/cli/worker.py
+++ b/juniperreel/cli/worker.py
@@ -1,8 +1,8 @@
 """A worker process of an edge, which serves the connections that the parent process passes to it.
 
-    python -m juniperreel.cli.worker PARENT-SOCKET SETTINGS FILE SLOT LISTEN-PORT MYSQL-PORT
+    python -m juniperreel.cli.worker SOCKET SETTINGS FILE SLOT LISTEN-PORT MYSQL-PORT
 
-PARENT-SOCKET and SETTINGS are file descriptors inherited from the parent: the socket over which it passes
+SOCKET and SETTINGS are file descriptors inherited from the parent: the socket over which it passes
 connections, and the text of the settings. FILE is the settings' path, for error messages and relative paths.
 """
 
@@ -37,7 +37,7 @@
 class WorkerArguments:
     """The command line. Ports are those that the parent listens on; `mysql_port` is 0 without MySQL."""
 
-    parent_socket_descriptor: int
+    socket_descriptor: int
     settings_descriptor: int
     file: Path
     slot: int
@@ -47,9 +47,14 @@
     @staticmethod
     def parse(arguments: list[str]) -> WorkerArguments:
         """Parse the command line. Raises ValueError if arguments are missing or not numeric."""
-        parent_socket, settings, file, slot, port, mysql_port = arguments[:6]
+        socket_descriptor, settings_descriptor, file, slot, port, mysql_port = arguments[:6]
         return WorkerArguments(
-            int(parent_socket), int(settings), Path(file), int(slot), int(port), int(mysql_port)
+            int(socket_descriptor),
+            int(settings_descriptor),
+            Path(file),
+            int(slot),
+            int(port),
+            int(mysql_port),
         )
 
 
@@ -75,11 +80,11 @@
 class Worker:
     """Runs the edge of a worker process as directed by the parent process."""
 
-    def __init__(self, settings: EdgeSettings, parent_socket: SocketPassing, slot: int) -> None:
+    def __init__(self, settings: EdgeSettings, parent_channel: SocketPassing, slot: int) -> None:
         self._network = PassedSocketNetwork()
         log = make_log(settings.log_format, settings.log_level, edge=settings.name, worker=slot)
         self._edge = Edge(settings, self._network, Clock(), log, SERVING_EVENT)
-        self._parent_socket = parent_socket
+        self._parent_channel = parent_channel
         self._addresses = {GRPC: settings.listen}
         if settings.mysql_frontend is not None:
             self._addresses[MYSQL] = settings.mysql_frontend.listen
@@ -97,13 +102,13 @@
     async def _report_status(self) -> None:
         while True:
             status = WorkerStatus(self._edge.connections, not self._edge.stopping.is_set())
-            self._parent_socket.send(msgspec.json.encode(status))
+            self._parent_channel.send(msgspec.json.encode(status))
             await trio.sleep(REPORT_INTERVAL_S)
 
     async def _receive_from_parent(self) -> None:
         """Accept passed connections until the parent requests draining or exits."""
         while True:
-            message, connection = await self._parent_socket.receive()
+            message, connection = await self._parent_channel.receive()
             if connection is not None:
                 self._accept(message, connection)
             elif not message:
@@ -144,13 +149,13 @@
         print(error, file=sys.stderr)
         sys.exit(INVALID_SETTINGS_STATUS)
     settings = worker_settings(settings, arguments.slot, arguments.port, arguments.mysql_port)
-    parent_socket = SocketPassing(socket.socket(fileno=arguments.parent_socket_descriptor))
-    trio.run(run_worker, settings, parent_socket, arguments.slot)
+    parent_channel = SocketPassing(socket.socket(fileno=arguments.socket_descriptor))
+    trio.run(run_worker, settings, parent_channel, arguments.slot)
 
 
-async def run_worker(settings: EdgeSettings, parent_socket: SocketPassing, slot: int) -> None:
+async def run_worker(settings: EdgeSettings, parent_channel: SocketPassing, slot: int) -> None:
     """Run a worker with its derived settings."""
-    await Worker(settings, parent_socket, slot).run()
+    await Worker(settings, parent_channel, slot).run()
 
 
 if __name__ == "__main__":
--- a/juniperreel/cli/workers.py
+++ b/juniperreel/cli/workers.py
@@ -87,8 +87,15 @@
     def _generation_plan(self, settings: EdgeSettings, text: bytes) -> GenerationConfig:
         return GenerationConfig(text, settings.workers, self._worker_command, settings.shutdown_timeout_us)
 
-    def _worker_command(self, parent_socket: int, settings_source: int, slot: int) -> list[str]:
-        arguments = (parent_socket, settings_source, self._file, slot, self._ports.grpc, self._ports.mysql)
+    def _worker_command(self, socket_descriptor: int, settings_descriptor: int, slot: int) -> list[str]:
+        arguments = (
+            socket_descriptor,
+            settings_descriptor,
+            self._file,
+            slot,
+            self._ports.grpc,
+            self._ports.mysql,
+        )
         return [sys.executable, "-m", "juniperreel.cli.worker", *map(str, arguments)]
 
     def _log_serving(self, metrics_address: str | None) -> None:
