--- a/tests/cli/test_trial.py
+++ b/tests/cli/test_trial.py
@@ -71,10 +71,10 @@
 
 
 def test_hunt_removes_folders_of_seeds_that_break_no_rule(tmp_path: Path) -> None:
-    (tmp_path / "quiet.day").write_text("groups 1\nmembers 3\nedges 2\nsessions 4\nlast 2s\n")
+    (tmp_path / "no_faults.day").write_text("groups 1\nmembers 3\nedges 2\nsessions 4\nlast 2s\n")
     out = tmp_path / "found"
     result = CliRunner().invoke(
-        main, ["trial", "hunt", str(tmp_path / "quiet.day"), "--seeds", "2", "--out", str(out)]
+        main, ["trial", "hunt", str(tmp_path / "no_faults.day"), "--seeds", "2", "--out", str(out)]
     )
     assert result.exit_code == 0, result.output
     assert "2 seeds, no rule broken" in result.output, result.output
--- a/tests/e2e/test_mysql.py
+++ b/tests/e2e/test_mysql.py
@@ -71,14 +71,14 @@
         member.replica.apply_slowdown = 1e5
     read = await env.read("t", env.keyring.encode(env.keyring.decode_text(token)))
     assert rows(read) == ["one"]
-    wrote = await env.write("t", rid="two")
-    token_text = env.keyring.encode_text(env.keyring.decode(wrote.causal_token))
+    write_response = await env.write("t", rid="two")
+    token_text = env.keyring.encode_text(env.keyring.decode(write_response.causal_token))
 
-    def see(connection: Any) -> Any:
+    def read_row(connection: Any) -> Any:
         execute(connection, f"set @@juniperreel_token = '{token_text}'")
         return execute(connection, SELECT % "t")
 
-    assert await run_pymysql(env, see) == (("one",), ("two",))
+    assert await run_pymysql(env, read_row) == (("one",), ("two",))
 
 
 async def test_values_of_all_kinds_come_back(env: Environment) -> None:
@@ -258,7 +258,7 @@
             for name in ("a", "b", "c"):
                 nursery.start_soon(run, name)
     for name in ("a", "b", "c"):
-        assert [(str(one), int(two)) for one, two in results[name]] == [(name, n) for n in range(10)]
+        assert [(str(label), int(value)) for label, value in results[name]] == [(name, n) for n in range(10)]
 
 
 async def test_unsupported_statement_cannot_be_prepared(env: Environment) -> None:
@@ -276,24 +276,29 @@
     assert codes == [1235, 1235, 1235]
 
 
-async def test_the_fake_client_keeps_its_token_over_connections(env: Environment) -> None:
+async def test_fake_client_token_is_accepted_on_a_second_connection(env: Environment) -> None:
     """The client of the scripted trials, against lagging replicas and after a reconnect."""
     with trio.fail_after(60):
-        one = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
-        assert await one.query(
+        first_client = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
+        assert await first_client.query(
             "insert into runs (runner, id) values ('k', 'a') /* group 0 */"
         ) == QueryResult(affected=1)
-        token_result = await one.query("select @@juniperreel_token")
+        token_result = await first_client.query("select @@juniperreel_token")
         assert isinstance(token_result, QueryResult)
         for member in env.fleet.endpoints.values():
             member.replica.apply_slowdown = 1e5
-        await one.close()
-        other = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
-        assert await other.query(f"set @@juniperreel_token = '{token_result.rows[0][0]}'") == QueryResult()
-        assert await other.query("select id, null from runs where runner = 'k'") == QueryResult([["a", None]])
-        failed = await other.query("begin")
+        await first_client.close()
+        second_client = MysqlClient(env.network, mysql_port(env), "ada", b"love lace")
+        assert (
+            await second_client.query(f"set @@juniperreel_token = '{token_result.rows[0][0]}'")
+            == QueryResult()
+        )
+        assert await second_client.query("select id, null from runs where runner = 'k'") == QueryResult(
+            [["a", None]]
+        )
+        failed = await second_client.query("begin")
         assert isinstance(failed, QueryError) and failed.code == 1235
-        await other.close()
+        await second_client.close()
         with pytest.raises(MysqlConnectionError) as caught:
             await MysqlClient(env.network, mysql_port(env), "ada", b"wrong").query("select 1")
         assert not caught.value.sent
@@ -309,7 +314,7 @@
     context = ssl.create_default_context(cafile=authority)
     assert await run_pymysql(env, work, ssl=context) == ((200_000,),)
 
-    def other() -> Any:
+    def query_with_connector() -> Any:
         with mysql.connector.connect(
             host="127.0.0.1",
             port=mysql_port(env),
@@ -326,10 +331,10 @@
             return cursor.fetchall()
 
     with trio.fail_after(60):
-        assert await trio.to_thread.run_sync(other) == []
-    strangers = ssl.create_default_context()
+        assert await trio.to_thread.run_sync(query_with_connector) == []
+    context_without_authority = ssl.create_default_context()
     with pytest.raises(pymysql.err.OperationalError):
-        await run_pymysql(env, work, ssl=strangers)
+        await run_pymysql(env, work, ssl=context_without_authority)
     assert await run_pymysql(env, lambda c: execute(c, "select 1")) == ((1,),), (
         "clients without TLS must be served too"
     )
--- a/tests/e2e/test_mysql_hard.py
+++ b/tests/e2e/test_mysql_hard.py
@@ -272,7 +272,7 @@
     assert served("once") == once
 
 
-async def test_other_commands(env: Environment) -> None:
+async def test_change_user_reset_connection_and_unsupported_commands(env: Environment) -> None:
     def work(connection: Any) -> list[Any]:
         cursor = connection.cursor()
         cursor.execute("set autocommit = 0")
@@ -296,8 +296,8 @@
     assert results[:2] == [[(0,)], True], "the open transaction must be rolled back"
     assert results[2] == 1049 and all(code in (1047, 1235, 1064) for code in results[3:])
 
-    def wrong(connection: Any) -> None:
+    def change_user_with_wrong_password(connection: Any) -> None:
         connection.cmd_change_user("ada", "wrong")
 
     with pytest.raises(mysql.connector.Error, match="Access denied"):
-        await trio.to_thread.run_sync(run_connector, env, wrong)
+        await trio.to_thread.run_sync(run_connector, env, change_user_with_wrong_password)
--- a/tests/e2e/test_transactions.py
+++ b/tests/e2e/test_transactions.py
@@ -298,7 +298,7 @@
     exchange = BackendConnection.exchange
     replay_started = trio.Event()
 
-    async def hang_during_replay(self: BackendConnection, steps: Any, *rest: Any, **more: Any) -> Any:
+    async def hang_during_replay(self: BackendConnection, steps: Any, *args: Any, **kwargs: Any) -> Any:
         if steps[0].text.startswith(b"set "):
             replay_started.set()
             with trio.CancelScope() as scope:
@@ -307,7 +307,7 @@
                 finally:
                     assert scope is not None
                     self.close()
-        return await exchange(self, steps, *rest, **more)
+        return await exchange(self, steps, *args, **kwargs)
 
     def disconnect() -> None:
         connection: Any = pymysql.connect(
--- a/tests/raft/test_cluster.py
+++ b/tests/raft/test_cluster.py
@@ -70,24 +70,26 @@
         await cluster_of_five.start_watcher(f"edge{n}")
     await cluster_of_five.wait_until_all_at(1, 10)
     delays_s: list[float] = []
-    for turn in range(3):
-        old = await cluster_of_five.wait_for_leader()
-        companion = next(n for n in cluster_of_five.names if n != old)
-        cluster_of_five.partition(old, companion)
-        minority = cluster_of_five.client_of([old])
+    for round_number in range(3):
+        old_leader = await cluster_of_five.wait_for_leader()
+        follower = next(n for n in cluster_of_five.names if n != old_leader)
+        cluster_of_five.partition(old_leader, follower)
+        minority = cluster_of_five.client_of([old_leader])
         await cluster_of_five.nursery.start(minority.run)
-        rest = [n for n in cluster_of_five.names if n not in (old, companion)]
+        majority = [n for n in cluster_of_five.names if n not in (old_leader, follower)]
 
-        async def propose_at_minority(client: Any = minority, turn: int = turn) -> None:
-            command = cluster_of_five.command(SetLimit("edges", 1000 + turn), client=f"minority{turn}")
+        async def propose_at_minority(client: Any = minority, round_number: int = round_number) -> None:
+            command = cluster_of_five.command(
+                SetLimit("edges", 1000 + round_number), client=f"minority{round_number}"
+            )
             try:
                 await client.propose(command, attempts=2)
             except Exception:  # the command was superseded, or its outcome is unknown
                 return
 
         cluster_of_five.nursery.start_soon(propose_at_minority)
-        await cluster_of_five.wait_for_leader(rest)
-        outcome = await cluster_of_five.apply_changes(SetLimit("attempts", 2 + turn))
+        await cluster_of_five.wait_for_leader(majority)
+        outcome = await cluster_of_five.apply_changes(SetLimit("attempts", 2 + round_number))
         healed = cluster_of_five.clock.now_us()
         cluster_of_five.heal()
         with trio.fail_after(10):
@@ -97,13 +99,13 @@
             min(
                 r.at
                 for r in cluster_of_five.records
-                if isinstance(r, VersionApplied) and r.node == d and r.version >= outcome.version
+                if isinstance(r, VersionApplied) and r.node == node and r.version >= outcome.version
             )
-            for d in {r.node for r in cluster_of_five.records if isinstance(r, VersionApplied)}
+            for node in {r.node for r in cluster_of_five.records if isinstance(r, VersionApplied)}
         )
         delays_s.append(max(last - healed, 0) / 1e6)
         await cluster_of_five.record_current_version()
-    print("seconds from healing to the last of ten drivers:", ", ".join(f"{t:.3f}" for t in delays_s))
+    print("seconds from healing to the last of ten watchers:", ", ".join(f"{t:.3f}" for t in delays_s))
     assert max(delays_s) < 3.0, delays_s
     final = await cluster_of_five.record_current_version()
     for version in {r.version for r in cluster_of_five.records if isinstance(r, VersionApplied)} - {
@@ -288,14 +290,14 @@
     async with trio.open_nursery() as nursery:  # both pass when proposed; the second fails when applied
         results: list[str] = []
 
-        async def one(expect: int) -> None:
+        async def propose(expect: int) -> None:
             command = cluster_of_three.command(
                 SetLimit("attempts", expect + 5), expect=expect, client=f"x{len(results)}{id(expect)}"
             )
             results.append((await leader.propose(msgspec.msgpack.encode(command))).rejection)
 
         for _ in range(2):
-            nursery.start_soon(one, 1)
+            nursery.start_soon(propose, 1)
     assert sorted(bool(r) for r in results) == [False, True]
 
 
@@ -324,11 +326,11 @@
 
 async def test_watcher_through_three_leader_changes_never_goes_back(cluster_of_three: Cluster) -> None:
     await cluster_of_three.start_watcher("edge")
-    for turn in range(3):
+    for round_number in range(3):
         leader = await cluster_of_three.wait_for_leader()
         other = next(n for n in cluster_of_three.names if n != leader)
         await cluster_of_three.client.call_leader("ChangeInstances", change("transfer", other))
-        await cluster_of_three.apply_changes(SetLimit("attempts", 2 + turn))
+        await cluster_of_three.apply_changes(SetLimit("attempts", 2 + round_number))
     await cluster_of_three.wait_until_all_at(4, 1)
     assert check_versions(cluster_of_three.records) == []
 
@@ -412,7 +414,7 @@
     assert propagation_delays_s(good, 2, 2) is None
 
 
-async def test_a_disk_that_fails_for_a_while_on_all_instances_loses_nothing(
+async def test_transient_disk_failure_on_all_instances_loses_nothing(
     cluster_of_three: Cluster,
 ) -> None:
     """After transient ENOSPC or EIO, confirmed versions survive and pending proposals are confirmed."""
@@ -421,13 +423,13 @@
         storage = cluster_of_three.instances[name].node._storage
         write = storage.write
 
-        def failing(batch: PersistBatch, name: str = name, write: Any = write) -> None:
+        def fail_then_write(batch: PersistBatch, name: str = name, write: Any = write) -> None:
             if failures[name]:
                 failures[name] -= 1
                 raise DiskFullError(Path(name), "Input/output error")
             write(batch)
 
-        storage.write = failing  # type: ignore[method-assign]
+        storage.write = fail_then_write  # type: ignore[method-assign]
     with trio.fail_after(30):
         await cluster_of_three.apply_changes(SetLimit("attempts", 7))
     assert not all(failures.values())
--- a/tests/raft/test_core.py
+++ b/tests/raft/test_core.py
@@ -79,7 +79,7 @@
         assert core.is_leader
         return core
 
-    def ticks(self, count: int, *names: str) -> None:
+    def run_ticks(self, count: int, *names: str) -> None:
         for _ in range(count):
             for name in names or tuple(self.cores):
                 self.cores[name].tick()
@@ -95,7 +95,7 @@
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.propose("a", b"x", b"y")
-    group.ticks(3, "a")
+    group.run_ticks(3, "a")
     assert all(applied == [b"x", b"y"] for applied in group.applied.values())
 
 
@@ -112,7 +112,7 @@
     assert [entry.index for entry in restored.log.entries] == [4, 5, 6, 7, 8]
 
 
-def test_vote_is_to_be_persisted_before_its_reply_is_sent() -> None:
+def test_vote_is_persisted_before_its_reply_is_sent() -> None:
     """A vote reply must be in the same Ready as the hard state that it depends on."""
     group = ScriptedGroup("a", "b", "c")
     core = group.cores["b"]
@@ -136,7 +136,7 @@
     group.elect("c")
     group.propose("c", b"new")
     group.partitioned = set()
-    group.ticks(30)
+    group.run_ticks(30)
     assert all(applied == [b"kept", b"new"] for applied in group.applied.values())
     for position in lost:  # their proposers can tell that they were superseded
         assert group.cores["a"].log.term_at(position.index) != position.term
@@ -146,7 +146,7 @@
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.partitioned = {"a"}
-    group.ticks(25, "a")
+    group.run_ticks(25, "a")
     assert not group.cores["a"].is_leader
     with pytest.raises(NotLeaderError):
         group.cores["a"].propose(b"x")
@@ -164,7 +164,7 @@
     group.partitioned = {"a"}
     group.elect("b")
     assert group.applied["b"] == [b"x"]
-    group.ticks(5, "b")
+    group.run_ticks(5, "b")
     assert group.applied["c"] == [b"x"]
 
 
@@ -198,10 +198,10 @@
     group.cores["a"].read_index(7)
     group.elect("b")
     group.propose("b", b"new")
-    group.ticks(25, "a")
+    group.run_ticks(25, "a")
     assert group.reads == []
     group.partitioned = set()
-    group.ticks(5, "b")
+    group.run_ticks(5, "b")
     group.cores["b"].read_index(8)
     group.deliver_messages()
     (read,) = group.reads
@@ -242,10 +242,10 @@
     group = ScriptedGroup("a", "b", "c")
     group.elect("a")
     group.partitioned = {"c"}
-    group.ticks(60)
+    group.run_ticks(60)
     term = group.cores["a"].term
     group.partitioned = set()
-    group.ticks(30)
+    group.run_ticks(30)
     assert group.cores["a"].is_leader
     assert group.cores["a"].term == term
 
@@ -259,13 +259,13 @@
     assert core.is_leader
     with pytest.raises(RequestRejectedError, match="nothing in its term"):
         core.change_membership(MembershipChange.ADD_LEARNER, "d")
-    group.ticks(4, "a")
+    group.run_ticks(4, "a")
     core.change_membership(MembershipChange.ADD_LEARNER, "d")
     with pytest.raises(RequestRejectedError, match="under way"):
         core.change_membership(MembershipChange.ADD_LEARNER, "e")
     group.deliver_messages()
     group.restart("d")
-    group.ticks(6, "a")
+    group.run_ticks(6, "a")
     core.change_membership(MembershipChange.PROMOTE, "d")
     group.deliver_messages()
     assert core.membership.voters == frozenset("abcd")
@@ -324,12 +324,12 @@
     group = group_with_a_lagging_node()
     for n in range(10):
         group.cores["a"].propose(b"more%d" % n)
-        group.ticks(1, "a")
-    group.ticks(10, "a")
+        group.run_ticks(1, "a")
+    group.run_ticks(10, "a")
     assert group.applied["c"] == group.applied["a"]
     assert len(group.applied["c"]) == 30
     group.restart("c")  # recovers from its disk
-    group.ticks(5, "a")
+    group.run_ticks(5, "a")
     assert group.applied["c"] == group.applied["a"]
 
 
--- a/tests/raft/test_storage.py
+++ b/tests/raft/test_storage.py
@@ -44,7 +44,7 @@
     assert restored.snapshot == Snapshot(0, 0, MEMBERS, b"")
 
 
-def test_storage_through_a_core_s_life_holds_what_in_memory_storage_holds(tmp_path: Path) -> None:
+def test_storage_and_in_memory_storage_agree_after_every_restart(tmp_path: Path) -> None:
     """Writes every batch of a running core to both storages, with restarts in between."""
     for seed in range(5):
         disk = Storage.create(tmp_path / str(seed), "c", "a", Membership(frozenset("a")), 1 << 24)
@@ -169,8 +169,8 @@
         at = original.rindex(needle)
         for offset in range(0, len(needle), 3):
             changed = bytearray(original)
-            for place in [i for i in range(len(original)) if original.startswith(needle, i)][:400]:
-                changed[place + offset] ^= 4
+            for position in [i for i in range(len(original)) if original.startswith(needle, i)][:400]:
+                changed[position + offset] ^= 4
             data.write_bytes(changed)
             with pytest.raises(StorageError, match="changed"):
                 Storage.open(storage.path, "c", "a").recover()
