--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# All that a fresh machine needs: each target sets up what it uses.
+# Each target installs what it needs, so that it also works on a new machine.
 PY := .venv/bin/python
 PROTOS := $(shell find juniperreel/proto -name '*.proto')
 
@@ -17,16 +17,16 @@
 	.venv/bin/mypy
 	.venv/bin/lint-imports
 
-# Half of the cores: tests that start processes, or time what they see on sockets, want more than one each.
+# Half of the cores: tests that start processes, or that measure times on sockets, need more than one core each.
 WORKERS := $(shell echo $$(( ($$(nproc) + 1) / 2 )))
 
-# Tests that start many processes, or whose verdict needs a loop that is not late: by themselves, and a fifth of the
-# cores at once.
+# Tests that start many processes, or that fail when the event loop is late, run separately from the others, with one
+# worker per five cores.
 HEAVY_WORKERS := $(shell echo $$(( ($$(nproc) + 4) / 5 )))
 HEAVY := tests/testbed tests/e2e tests/cli tests/platform/test_deploy.py tests/platform/test_planted.py \
 	tests/platform/test_shutdown.py tests/platform/test_hold_ups.py
 
-# Tests that may fail for a fault that is known and not mended yet: tried and shown, and passed over.
+# Tests that may fail because of a known bug that is not fixed yet: run and reported, but they do not fail the target.
 KNOWN_RED := $(shell test ! -f KNOWN-RED.txt || sed 's/ .*//' KNOWN-RED.txt)
 
 test: lint
@@ -41,7 +41,7 @@
 proto: setup
 	$(PY) -m grpc_tools.protoc -I . --python_out=. --pyi_out=. $(PROTOS)
 
-# What a run of the operators' bench wants beside our own site files is theirs: laid here, never committed.
+# Site files that belong to the operators' test bench, which needs them beside this project's: copied, never committed.
 KIT := ../given/kit/more
 sites:
 	cp $(KIT)/mass/other/real.json $(KIT)/mass/other/wire.json deploy/sites/
